--- a/include/dragonflymoor/Steering/Directory.h
+++ b/include/dragonflymoor/Steering/Directory.h
@@ -18,11 +18,11 @@
   auto operator<=>(const DirectoryQuery&) const = default;
 };
 
-/// The VMs that a caller may use, at most aMost: those of its own region, or, when none of them is
-/// usable, those of regions in which all routes of the host may be served, or else all others.
+/// The VMs that a caller may use, at most aMaxVms: those of its own region, or, when none of them
+/// is usable, those of regions in which all routes of the host may be served, or else all others.
 /// Safe to call from any thread with a Random of its own.
 std::vector<Endpoint>
-ResolveVms(const FleetView& aView, const DirectoryQuery& aQuery, size_t aMost, Random& aRandom);
+ResolveVms(const FleetView& aView, const DirectoryQuery& aQuery, size_t aMaxVms, Random& aRandom);
 
 } // namespace dfm
 
--- a/include/dragonflymoor/Steering/Dispatcher.h
+++ b/include/dragonflymoor/Steering/Dispatcher.h
@@ -22,10 +22,10 @@
 
 namespace dfm {
 
-/// Number of a request of a caller, unique in one run of this VM.
+/// Identifies a caller's request within one run of this VM.
 using Ticket = uint64_t;
 
-/// What the decisions need to know of a request.
+/// Properties of a request on which the dispatcher bases its decisions.
 struct RequestSpec
 {
   std::shared_ptr<const RouteIndex> routes; ///< Keeps the route alive.
@@ -36,7 +36,7 @@
   uint64_t fingerprint = 0; ///< The same for each copy of a request.
 };
 
-/// One hand-over of a request to an instance, with what decided it.
+/// One attempt to serve a request at an instance, with the load on which the choice was based.
 struct InstanceAttempt
 {
   Ticket ticket = 0;
@@ -48,7 +48,7 @@
   unsigned number = 1; ///< 1 for the first instance.
   // For the log: what the decision rested on.
   unsigned ownInFlight = 0;
-  unsigned busy = 0; ///< Known requests of all VMs at the instance.
+  unsigned knownInFlight = 0; ///< Known requests of all VMs at the instance.
   unsigned slots = 0;
   bool spilled = false; ///< In another region than this VM's.
   Duration waited{};
@@ -64,7 +64,7 @@
     NotSent,     ///< No byte of the request left this VM.
     Broken,      ///< The connection ended after the request was sent, or the answer was unusable.
     TimedOut,    ///< The deadline came first.
-    Abandoned,   ///< This VM gave the attempt up because the instance fell silent.
+    Abandoned,   ///< This VM gave up the attempt because the instance stopped answering.
   };
   Kind kind = Kind::Broken;
   unsigned status = 0;        ///< Of the answer, when there is one.
@@ -76,7 +76,7 @@
 std::string_view
 ToString(AttemptEndReport::Kind aKind);
 
-/// Why a request gets an answer of this VM's own.
+/// Why this VM answers a request itself instead of an instance.
 enum class RefusalReason
 {
   Overload,   ///< No slot became free in time.
@@ -96,19 +96,19 @@
   // For the log: what the decision rested on.
   Duration waited{};
   ServiceId service;
-  unsigned instances = 0; ///< Usable ones of the service.
-  unsigned slots = 0;     ///< Of the usable instances.
-  unsigned busy = 0;      ///< Known requests of all VMs at them.
-  size_t waiting = 0;     ///< Requests for the service that wait here.
+  unsigned instances = 0;     ///< Usable instances of the service.
+  unsigned slots = 0;         ///< Of the usable instances.
+  unsigned knownInFlight = 0; ///< Known requests of all VMs at the usable instances.
+  size_t waiting = 0;         ///< Requests for the service that wait at this VM.
 };
 
 /// What follows an attempt.
 enum class Verdict
 {
   Deliver, ///< The caller gets the instance's answer.
-  Retry,   ///< The request is queued again; a hook tells how it goes on.
-  Refuse,  ///< Nothing ran: the caller may come back.
-  Fail,    ///< It may have run: the caller learns only that it failed.
+  Retry,   ///< The request is started again or queued; startAttempt or refuseRequest follows.
+  Refuse,  ///< The request did not run: the caller may retry it.
+  Fail,    ///< The request may have run: the caller is told only that it failed.
 };
 
 struct DispatcherOptions
@@ -117,8 +117,8 @@
   RegionId region;
   FailureDomainId failureDomain;
   uint64_t randomSeed = 0;
-  /// Repeats that all VMs together may add for each request of a service, and in each window
-  /// besides.
+  /// Retries that all VMs together may add: retryRatio for each request of a service, and
+  /// retrySlack more in each window.
   double retryRatio = 0.2;
   double retrySlack = 0;
   /// Part of a region's requests that may change the region in which they run from one window to
@@ -127,17 +127,17 @@
   SpillOptions spill;
 };
 
-/// Actions of the dispatcher. None may call it again before it returns.
+/// Callbacks of the dispatcher. None may call the dispatcher again before it returns.
 struct DispatcherHooks
 {
-  std::function<void(const InstanceAttempt&)> start;
-  std::function<void(Ticket, const RequestRefusal&)> refuse;
-  /// The attempt's instance fell silent: its connection is to be closed; OnAttemptEnd follows.
-  std::function<void(Ticket)> abandon;
-  /// An instance is to be asked for its health; OnProbe follows.
-  std::function<void(const Instance&, const ServiceSpec&)> probe;
-  /// A request crashed an instance; all VMs are to know.
-  std::function<void(const CrashReport&)> crashed;
+  std::function<void(const InstanceAttempt&)> startAttempt;
+  std::function<void(Ticket, const RequestRefusal&)> refuseRequest;
+  /// Closes the attempt's connection, because the instance stopped answering; OnAttemptEnd follows.
+  std::function<void(Ticket)> abandonAttempt;
+  /// Sends a health check to an instance; OnProbe follows.
+  std::function<void(const Instance&, const ServiceSpec&)> sendProbe;
+  /// Tells all VMs that a request crashed an instance.
+  std::function<void(const CrashReport&)> publishCrash;
 };
 
 /// Chooses an instance for each request of this VM, lets requests wait for a slot, refuses those
@@ -152,10 +152,10 @@
 
   void OnFleet(TimePoint aNow, std::shared_ptr<const FleetView> aView);
 
-  /// Takes a request; start or refuse follows, perhaps before this returns.
+  /// Accepts a request; startAttempt or refuseRequest follows, possibly before this returns.
   void Submit(TimePoint aNow, Ticket aTicket, RequestSpec aSpec);
-  /// The caller left. No hook is called for the request any more. An attempt in flight is ended by
-  /// the shell without OnAttemptEnd.
+  /// The caller left. No hook is called for the request any more. The code that owns the dispatcher
+  /// ends an attempt in flight without calling OnAttemptEnd.
   void Cancel(TimePoint aNow, Ticket aTicket);
   /// An attempt ended. Except for Retry the request is finished.
   Verdict OnAttemptEnd(TimePoint aNow, Ticket aTicket, const AttemptEndReport& aReport);
@@ -163,21 +163,21 @@
   void OnProbe(TimePoint aNow, const BackendId& aInstance, ProbeResult aResult, Duration aColdLeft);
   void OnPeerLoad(TimePoint aNow, const VmId& aVm, const PeerLoad& aLoad);
   void OnCrashReport(TimePoint aNow, const CrashReport& aReport);
-  /// Every 10 ms.
+  /// To be called every 10 ms.
   void OnTick(TimePoint aNow);
 
   /// Requests of this VM at each instance; instances without any are left out.
   std::vector<InstanceLoad> OwnLoad() const;
-  size_t Waiting() const;
-  size_t InFlight() const;
-  /// When a refused request may come back.
+  size_t WaitingCount() const;
+  size_t InFlightCount() const;
+  /// Random delay after which a refused request may be retried.
   Duration RetryAfter();
 
 private:
   /// One instance of a service.
   struct Candidate
   {
-    InstanceTracker* state = nullptr;
+    InstanceTracker* tracker = nullptr;
     uint64_t hash = 0;   ///< Of the instance's id, for rendezvous hashing.
     unsigned domain = 0; ///< Index of its failure domain in the region.
   };
@@ -190,16 +190,16 @@
   struct Ranked
   {
     InstanceTracker* instance = nullptr;
-    uint64_t weight = 0; ///< Of the instance for the request's key.
+    uint64_t weight = 0; ///< Rendezvous weight of the instance for the request's key.
     unsigned domain = 0; ///< Index of its failure domain in the region.
     bool degraded = false;
-    bool home = false; ///< One of the instances that keep the object warm.
-    bool far = false;  ///< In another failure domain, to which bytes are priced.
+    bool home = false;          ///< One of the instances that keep the object warm.
+    bool inOtherDomain = false; ///< In another failure domain, to which bytes are priced.
   };
   /// The instances of one region in the order in which a request prefers them.
   struct Ranking
   {
-    TimePoint at;
+    TimePoint rankedAt;
     std::vector<Ranked> order;
   };
   struct Request
@@ -210,17 +210,17 @@
     bool sticky = false; ///< Some instances serve its object faster.
     unsigned attempts = 0;
     std::vector<BackendId> tried;
-    std::optional<BackendId> at; ///< The instance of the attempt in flight.
+    std::optional<BackendId> currentInstance; ///< The instance of the attempt in flight.
     /// An earlier attempt may have run the request.
     bool mayHaveRun = false;
-    /// Kept while the request waits; cleared when the fleet or what it tried changes.
+    /// Cached while the request waits; cleared when the fleet or the tried instances change.
     std::map<RegionId, Ranking> rankings;
   };
-  /// How one service's objects are spread over the instances of a region.
+  /// How one service's objects are distributed over the instances of a region.
   struct RegionSpread
   {
-    /// Use from which on a region is short of slots.
-    static constexpr double kCrowded = 0.85;
+    /// Part of the slots in use above which a region is short of slots.
+    static constexpr double kShortOfSlots = 0.85;
 
     double use = 0; ///< Moving mean of the part of the slots in use.
     /// Part of the objects that have a home in each failure domain; the others have one in the
@@ -236,53 +236,55 @@
     Duration longestGoal{};    ///< Of its routes that had requests.
     ObjectCounter objects;
     SpillControl spill;
-    bool begun = false; ///< There was a request.
+    bool hadRequests = false; ///< The service has had at least one request.
   };
-  ServiceState& StateOf(const ServiceId& aService);
+  ServiceState& ServiceStateFor(const ServiceId& aService);
   void Enqueue(ServiceState& aState, Ticket aTicket, const Request& aRequest);
 
   /// Marks the instances that keep an object warm, out of all usable ones of a region in order of
   /// weight.
   static void MarkHomes(std::vector<Ranked>& aRanked, size_t aDomains, bool aOnePerRegion);
-  std::vector<Ranked> Rank(TimePoint aNow,
-                           const Request& aRequest,
-                           const ServiceState& aState,
-                           const RegionId& aRegion) const;
-  InstanceTracker* Choose(TimePoint aNow, Request& aRequest, const ServiceState& aState) const;
-  InstanceTracker* ChooseIn(TimePoint aNow,
-                            Request& aRequest,
-                            const ServiceState& aState,
-                            const RegionId& aRegion) const;
-  static bool HasUsable(TimePoint aNow, const RegionCandidates& aCandidates);
+  std::vector<Ranked> RankInstances(TimePoint aNow,
+                                    const Request& aRequest,
+                                    const ServiceState& aState,
+                                    const RegionId& aRegion) const;
+  InstanceTracker* ChooseInstance(TimePoint aNow,
+                                  Request& aRequest,
+                                  const ServiceState& aState) const;
+  InstanceTracker* ChooseInstanceInRegion(TimePoint aNow,
+                                          Request& aRequest,
+                                          const ServiceState& aState,
+                                          const RegionId& aRegion) const;
+  static bool HasUsableInstance(TimePoint aNow, const RegionCandidates& aCandidates);
   bool TryStart(TimePoint aNow, Ticket aTicket, Request& aRequest);
-  std::vector<Ticket> WaitingOrder(TimePoint aNow, const ServiceState& aState) const;
-  void Pump(TimePoint aNow, const ServiceId& aService);
+  std::vector<Ticket> OrderWaitingRequests(TimePoint aNow, const ServiceState& aState) const;
+  void StartWaitingRequests(TimePoint aNow, const ServiceId& aService);
   void Refuse(TimePoint aNow, Ticket aTicket, RefusalReason aReason);
-  void CheckWaiting(TimePoint aNow);
-  void CheckSilence(TimePoint aNow);
-  void CheckProbes(TimePoint aNow);
+  void RefuseExpiredRequests(TimePoint aNow);
+  void CheckSilentInstances(TimePoint aNow);
+  void SendDueProbes(TimePoint aNow);
   /// Adapts the shares of other regions and the homes of the objects to the use of the regions.
   void BalanceRegions(TimePoint aNow);
   static void UpdateSpreads(ServiceState& aState, const std::vector<RegionUse>& aUses);
   static void AddCandidate(RegionCandidates& aCandidates, InstanceTracker& aInstance);
   static bool HasFreeSlot(TimePoint aNow, const ServiceState& aState);
-  /// Hands the sums of the other VMs' requests to the trackers.
+  /// Passes the sums of the other VMs' requests at aInstances to their trackers.
   void ApplyPeerLoads(const std::vector<uint32_t>& aInstances);
-  void CountCrashes(TimePoint aNow, InstanceTracker& aInstance);
-  void Abandon(const BackendId& aInstance);
+  void ReportCrashes(TimePoint aNow, InstanceTracker& aInstance);
+  void AbandonAttempts(const BackendId& aInstance);
   bool MayRetry(TimePoint aNow, const Request& aRequest, const AttemptEndReport& aReport);
-  /// Records what the end of an attempt says of its instance.
-  void Learn(TimePoint aNow, Request& aRequest, const AttemptEndReport& aReport);
-  Duration HoldTime(const Request& aRequest, const ServiceState& aState) const;
-  InstanceTracker* Find(const BackendId& aInstance);
+  /// Updates the health, load and latency of the instance from the end of an attempt.
+  void RecordAttemptEnd(TimePoint aNow, Request& aRequest, const AttemptEndReport& aReport);
+  Duration MaxWaitTime(const Request& aRequest, const ServiceState& aState) const;
+  InstanceTracker* FindInstance(const BackendId& aInstance);
   double ColdRateFor(const Instance& aInstance) const;
 
   DispatcherOptions options_;
   DispatcherHooks hooks_;
   Random random_;
   std::shared_ptr<const FleetView> view_;
-  std::map<BackendId, std::unique_ptr<InstanceTracker>> instances_;
-  std::unordered_map<uint32_t, InstanceTracker*> byHash_;
+  std::map<BackendId, std::unique_ptr<InstanceTracker>> trackers_;
+  std::unordered_map<uint32_t, InstanceTracker*> trackersByHash_;
   PeerLoads peerLoads_;
   std::map<ServiceId, ServiceState> services_;
   std::unordered_map<Ticket, Request> requests_;
--- a/include/dragonflymoor/Steering/FleetKeeper.h
+++ b/include/dragonflymoor/Steering/FleetKeeper.h
@@ -52,36 +52,38 @@
   std::function<Checked<Instance>(const std::string&, std::string_view, TimePoint)> instance;
 };
 
-/// How the keeper reports what it believes.
+/// Notifications of changes in the fleet state.
 struct FleetKeeperHooks
 {
   std::function<void(const Manifest&)> manifestChanged;
   /// A version that is older than the one in force, or invalid.
-  std::function<void(const Findings&)> rejected;
+  std::function<void(const Findings&)> objectRejected;
   std::function<void(const Instance&, std::string_view aChange)> instanceChanged;
 };
 
-/// Holds what the store, or another VM that reaches it, said of the fleet. A manifest never goes
-/// back, whatever it is read from. Instances whose entries lapsed during an outage of the store are
-/// kept until they had time to register again. Not thread-safe.
+/// Holds the fleet state read from the store, or from another VM that reaches the store. The
+/// manifest is never replaced by an older version, whichever source that comes from. Instances
+/// whose entries lapsed during an outage of the store are kept until they had time to register
+/// again. Not thread-safe.
 class FleetKeeper
 {
 public:
   /// Precondition: all functions are set.
   FleetKeeper(ObjectDecoders aDecoders, FleetKeeperHooks aHooks);
 
-  /// The whole of one kind. An older revision than the known one is ignored.
-  void OnSet(TimePoint aNow, ObjectKind aKind, const ObjectSet& aSet);
+  /// Replaces all objects of one kind. A revision older than the known one is ignored.
+  void OnSnapshot(TimePoint aNow, ObjectKind aKind, const ObjectSet& aSet);
   void OnChanges(TimePoint aNow,
                  ObjectKind aKind,
                  uint64_t aRevision,
                  const std::vector<ObjectChange>& aChanges);
-  /// Calls to the store fail, or work again.
+  /// Calls to the store started to fail, or succeed again.
   void OnStoreReachable(TimePoint aNow, bool aReachable);
-  /// Another VM said whether the store answers it steadily. If it does, the store is not down: what
-  /// is missing there is gone, not lapsed.
-  void OnStoreElsewhere(TimePoint aNow, bool aSteady);
-  /// Whether the store answers this VM, and lapsed entries had time to come back.
+  /// Another VM reported whether its store state is steady. If so, the store is not down: entries
+  /// missing there are gone, not lapsed.
+  void OnPeerStoreStatus(TimePoint aNow, bool aSteady);
+  /// Whether the store answers this VM and has done so long enough for lapsed entries to be
+  /// registered again.
   bool IsStoreSteady(TimePoint aNow) const;
   /// Removes instances whose time to register again is over. True when there were any.
   bool OnTick(TimePoint aNow);
@@ -89,10 +91,13 @@
   /// What changed in one kind after aRevision, the latest state of each object once; empty when
   /// that is no longer known.
   std::optional<std::vector<ObjectChange>> ChangesSince(ObjectKind aKind, uint64_t aRevision) const;
-  const ObjectSet& Set(ObjectKind aKind) const { return sets_[static_cast<size_t>(aKind)]; }
+  const ObjectSet& Snapshot(ObjectKind aKind) const
+  {
+    return snapshots_[static_cast<size_t>(aKind)];
+  }
   bool HasManifest() const { return routes_ != nullptr; }
-  /// The members of the view that follow from the store.
-  FleetView View() const;
+  /// Builds the view, filling only the members that are derived from the store.
+  FleetView BuildView() const;
 
 private:
   struct Entry
@@ -105,25 +110,25 @@
   /// Names of objects that changed, with the revision at which that was learnt.
   struct History
   {
-    uint64_t since = 0; ///< Changes after this revision are complete.
+    uint64_t completeSince = 0; ///< Changes after this revision are complete.
     std::deque<std::pair<uint64_t, std::string>> names;
   };
 
-  ObjectSet& MutableSet(ObjectKind aKind) { return sets_[static_cast<size_t>(aKind)]; }
-  void Apply(TimePoint aNow, ObjectKind aKind, const ObjectChange& aChange);
+  ObjectSet& MutableSnapshot(ObjectKind aKind) { return snapshots_[static_cast<size_t>(aKind)]; }
+  void ApplyChange(TimePoint aNow, ObjectKind aKind, const ObjectChange& aChange);
   void ApplyManifest(std::string_view aContent);
   void ApplyInstance(TimePoint aNow, const ObjectChange& aChange);
   void RemoveInstance(TimePoint aNow, const std::string& aName);
 
   ObjectDecoders decoders_;
   FleetKeeperHooks hooks_;
-  std::array<ObjectSet, kObjectKindCount> sets_;
+  std::array<ObjectSet, kObjectKindCount> snapshots_;
   std::array<History, kObjectKindCount> histories_;
   std::shared_ptr<const RouteIndex> routes_;
   std::map<std::string, Entry> instances_;
-  bool reachable_ = true;
-  std::optional<TimePoint> regainedAt_;
-  std::optional<TimePoint> steadyElsewhereAt_;
+  bool storeReachable_ = true;
+  std::optional<TimePoint> storeRegainedAt_;
+  std::optional<TimePoint> peerReportedSteadyAt_;
 };
 
 } // namespace dfm
--- a/include/dragonflymoor/Steering/FleetView.h
+++ b/include/dragonflymoor/Steering/FleetView.h
@@ -14,19 +14,19 @@
 struct Instance
 {
   BackendId id;
-  uint64_t bornMs = 0; ///< Wall time of the start; tells two runs under one id apart.
+  uint64_t startTimeMs = 0; ///< Wall time of the start; tells two runs under one id apart.
   ServiceId service;
   RegionId region;
   FailureDomainId failureDomain;
   Endpoint endpoint;
   unsigned slots = 1; ///< Requests served at once.
   bool draining = false;
-  TimePoint coldUntil; ///< Until then it bears only the service's cold rate.
+  TimePoint coldUntil; ///< Until then the instance can handle only the service's cold rate.
 
   bool operator==(const Instance&) const = default;
 };
 
-/// What a VM believes of the fleet at one moment. Immutable; handed from the control thread to the
+/// Snapshot of the fleet as one VM knows it. Immutable; handed from the control thread to the
 /// traffic thread.
 struct FleetView
 {
--- a/include/dragonflymoor/Steering/InstanceTracker.h
+++ b/include/dragonflymoor/Steering/InstanceTracker.h
@@ -13,10 +13,11 @@
 /// Why an instance gets no request at the moment.
 enum class Unusable
 {
-  No, ///< It may be used.
+  None, ///< The instance may be used.
   Draining,
   Evacuated,
-  Down, ///< Connects fail, it broke connections or fell silent; until a health check passes.
+  Down, ///< Connects failed, connections broke or answers stopped; lasts until a health check
+        ///< passes.
   Cold, ///< The VM's part of its cold rate is used up.
   Full,
 };
@@ -42,7 +43,7 @@
 
   const Instance& Spec() const { return spec_; }
   bool IsCold(TimePoint aNow) const { return aNow < spec_.coldUntil; }
-  /// Replaces the registration. A new run forgets what was known of the earlier one.
+  /// Replaces the registration. A new run of the instance discards the state of the earlier run.
   void SetSpec(Instance aInstance);
   void SetEvacuated(bool aEvacuated) { evacuated_ = aEvacuated; }
   /// Rate, per second, at which this VM may send requests while the instance is cold.
@@ -51,15 +52,16 @@
   void OnTick(TimePoint aNow);
 
   /// Whether and why the instance must not get a request now, slots aside.
-  Unusable WhyUnusable(TimePoint aNow) const;
+  Unusable UnusableReasonAt(TimePoint aNow) const;
   /// Slots that no known request uses; negative when it is overfull.
   int FreeSlots(TimePoint aNow) const;
   /// Requests of all VMs that are known to be at the instance.
-  unsigned Busy() const { return inFlight_ + peerInFlight_; }
+  unsigned KnownInFlight() const { return inFlight_ + peerInFlight_; }
   unsigned OwnInFlight() const { return inFlight_; }
   /// A poor choice while others have free slots: it fails or sheds often, or is far slower than
-  /// aTypical. Now and then it is false for one request, so that a recovery is noticed.
-  bool IsDegraded(TimePoint aNow, Duration aTypical) const;
+  /// aTypicalLatency. Returns false for one request from time to time, so that a recovery is
+  /// noticed.
+  bool IsDegraded(TimePoint aNow, Duration aTypicalLatency) const;
 
   /// Takes one request of the cold rate when the instance is cold. Must be called right before a
   /// request is sent.
@@ -71,10 +73,10 @@
   void OnFailure(TimePoint aNow, bool aShed);
   /// A connect failed or a connection broke: the instance is down until a health check passes.
   void OnUnreachable(TimePoint aNow);
-  /// The end of a health check; aColdLeft is what the instance says.
+  /// A health check ended; aColdLeft is the remaining cold time that the instance reported.
   void OnProbe(TimePoint aNow, ProbeResult aResult, Duration aColdLeft);
   /// When the next health check is due; empty while the instance is not down.
-  std::optional<TimePoint> ProbeDueAt() const;
+  std::optional<TimePoint> NextProbeTime() const;
   void OnProbeSent(TimePoint aNow);
 
   /// Fingerprints of requests on which the instance broke its connection shortly before aNow. They
@@ -85,8 +87,8 @@
   /// Requests of all other VMs at this instance.
   void SetPeerInFlight(unsigned aInFlight) { peerInFlight_ = aInFlight; }
 
-  /// Time of the last complete answer or start; for the detection of silence.
-  TimePoint LastHeard() const { return lastHeard_; }
+  /// Time of the last complete answer or start; used to detect instances that stopped answering.
+  TimePoint LastResponseTime() const { return lastResponseTime_; }
   Duration MeanLatency() const { return meanLatency_; }
 
 private:
@@ -94,24 +96,24 @@
   bool evacuated_ = false;
   unsigned inFlight_ = 0;
   unsigned peerInFlight_ = 0;
-  TokenBucket cold_;
+  TokenBucket coldBucket_;
   double coldRate_ = 0;
-  std::optional<TimePoint> coldFilledAt_;
-  double failureShare_ = 0; ///< Moving mean over answers.
-  unsigned answers_ = 0;    ///< Since the start of the run, bounded.
+  std::optional<TimePoint> lastColdRefill_;
+  double failureShare_ = 0;  ///< Moving mean over answers.
+  unsigned answerCount_ = 0; ///< Since the start of the run, bounded.
   Duration meanLatency_{};
-  TimePoint lastHeard_;
-  TimePoint shedUntil_; ///< Counts as full until then.
-  TimePoint nextTrial_; ///< A degraded instance gets one request after this time.
+  TimePoint lastResponseTime_;
+  TimePoint shedUntil_;     ///< Counts as full until then.
+  TimePoint nextTrialTime_; ///< A degraded instance gets one request after this time.
   struct CrashSuspect
   {
-    TimePoint at;
+    TimePoint brokenAt;
     uint64_t fingerprint = 0;
   };
   std::vector<CrashSuspect> crashSuspects_; ///< Bounded; the oldest first.
   bool down_ = false;
   unsigned failedProbes_ = 0;
-  TimePoint probeAt_;
+  TimePoint nextProbeTime_;
 };
 
 } // namespace dfm
--- a/include/dragonflymoor/Steering/Manifest.h
+++ b/include/dragonflymoor/Steering/Manifest.h
@@ -28,11 +28,11 @@
   std::string host;       ///< Lower case, without port.
   std::string pathPrefix; ///< Begins and ends with a slash.
   bool idempotent = false;
-  Duration timeout{};                ///< Longest time until the final answer.
-  Duration goal{};                   ///< An answer within this time has its full value.
-  unsigned priority = 0;             ///< 0 is the most urgent.
-  unsigned maxAttempts = 1;          ///< Instances that one request may be sent to.
-  bool sticky = false;               ///< Instances serve an object faster that they served before.
+  Duration timeout{};       ///< Longest time until the final answer.
+  Duration goal{};          ///< An answer within this time has its full value.
+  unsigned priority = 0;    ///< 0 is the most urgent.
+  unsigned maxAttempts = 1; ///< Instances that one request may be sent to.
+  bool sticky = false;      ///< Instances serve an object faster if they have served it before.
   std::vector<RegionId> homeRegions; ///< Only these may serve the route; empty: all.
   std::vector<SplitPart> parts;      ///< Never empty.
 
@@ -44,9 +44,10 @@
 {
   ServiceId id;
   std::string healthPath;
-  unsigned maxConnections = 0;      ///< Of one instance, from all callers together.
-  Duration coldStart{};             ///< How long an instance is cold after its start.
-  double coldRequestsPerSecond = 0; ///< What a cold instance bears, from all VMs together.
+  unsigned maxConnections = 0; ///< Of one instance, from all callers together.
+  Duration coldStart{};        ///< How long an instance is cold after its start.
+  double coldRequestsPerSecond =
+    0; ///< Rate that a cold instance can handle, from all VMs together.
 
   auto operator<=>(const ServiceSpec&) const = default;
 };
@@ -84,16 +85,16 @@
   const Route* Find(std::string_view aHost, std::string_view aPath) const;
 
   /// Whether the host has routes, and all of them may be served in aRegion.
-  bool HostMayUse(std::string_view aHost, const RegionId& aRegion) const;
+  bool MayServeHostIn(std::string_view aHost, const RegionId& aRegion) const;
 
   const Manifest& GetManifest() const { return *manifest_; }
 
 private:
-  const std::vector<const Route*>* RoutesOf(std::string_view aHost) const;
+  const std::vector<const Route*>* FindHostRoutes(std::string_view aHost) const;
 
   std::shared_ptr<const Manifest> manifest_;
   /// Routes of each host, longest prefix first.
-  std::unordered_map<std::string, std::vector<const Route*>> byHost_;
+  std::unordered_map<std::string, std::vector<const Route*>> routesByHost_;
 };
 
 /// Whether aRoute may be served in aRegion.
--- a/include/dragonflymoor/Steering/ObjectCounter.h
+++ b/include/dragonflymoor/Steering/ObjectCounter.h
@@ -8,14 +8,14 @@
 namespace dfm {
 
 /// Estimates how many objects the requests of a service concern, from a sample of the requests: the
-/// more often a key comes again, the fewer there are. Not thread-safe.
+/// more often keys repeat, the fewer objects there are. Not thread-safe.
 class ObjectCounter
 {
 public:
   void OnRequest(uint64_t aKey);
 
   /// 0 while the sample is too small to tell.
-  double Estimate() const { return estimate_; }
+  double EstimatedCount() const { return estimate_; }
 
 private:
   std::unordered_set<uint64_t> keys_;
--- a/include/dragonflymoor/Steering/PeerLoads.h
+++ b/include/dragonflymoor/Steering/PeerLoads.h
@@ -22,8 +22,8 @@
 /// UDP: what a VM tells others of its requests in flight.
 struct PeerLoad
 {
-  std::vector<InstanceLoad> loads; ///< Instances without any are left out.
-  Duration life{};                 ///< Without another report the load counts no longer than this.
+  std::vector<InstanceLoad> loads; ///< Instances without requests are left out.
+  Duration life{};                 ///< How long the report is valid unless another one replaces it.
 
   auto operator<=>(const PeerLoad&) const = default;
 };
@@ -41,16 +41,16 @@
   std::vector<uint32_t> DropExpired(TimePoint aNow);
 
   /// Requests of all other VMs at an instance.
-  unsigned At(uint32_t aInstance) const;
+  unsigned InFlightAt(uint32_t aInstance) const;
 
 private:
   struct Report
   {
-    TimePoint until;
+    TimePoint expiresAt;
     std::vector<InstanceLoad> loads;
   };
 
-  void Subtract(const Report& aReport, std::vector<uint32_t>& aChanged);
+  void SubtractReport(const Report& aReport, std::vector<uint32_t>& aChanged);
 
   std::map<VmId, Report> reports_;
   std::unordered_map<uint32_t, unsigned> sums_;
--- a/include/dragonflymoor/Steering/PeerMessages.h
+++ b/include/dragonflymoor/Steering/PeerMessages.h
@@ -13,12 +13,12 @@
 namespace dfm {
 
 /// UDP: a request crashed an instance.
-struct PeerCrash
+struct PeerCrashReport
 {
   uint64_t reportId = 0;
   uint64_t fingerprint = 0;
 
-  auto operator<=>(const PeerCrash&) const = default;
+  auto operator<=>(const PeerCrashReport&) const = default;
 };
 
 /// TCP: asks for all kinds of objects of which the receiver knows a later revision.
@@ -35,7 +35,7 @@
   {
     ObjectKind kind = ObjectKind::Manifest;
     ObjectSet set; ///< All objects, or those that changed since the requested revision.
-    bool whole = true;
+    bool complete = true;
     std::vector<std::string> removed; ///< Objects that are gone, when not whole.
 
     bool operator==(const Kind&) const = default;
@@ -49,7 +49,7 @@
   bool operator==(const StateReply&) const = default;
 };
 
-using PeerMessage = std::variant<PeerLoad, PeerCrash, StateRequest, StateReply>;
+using PeerMessage = std::variant<PeerLoad, PeerCrashReport, StateRequest, StateReply>;
 
 struct PeerEnvelope
 {
--- a/include/dragonflymoor/Steering/ShiftLimit.h
+++ b/include/dragonflymoor/Steering/ShiftLimit.h
@@ -9,9 +9,9 @@
 namespace dfm {
 
 /// Bounds how fast the share of this VM's requests that run in another region grows. When every VM
-/// of a region keeps the bound, their sum does too. It counts requests that were started: while the
-/// own region is overloaded and refuses most of its requests, a small part of the keys can be most
-/// of what runs. Not thread-safe.
+/// of a region keeps within the bound, their sum does too. It counts requests that were started:
+/// while the own region is overloaded and refuses most of its requests, a small part of the keys
+/// can account for most of the requests that run. Not thread-safe.
 class ShiftLimit
 {
 public:
@@ -23,9 +23,9 @@
   {
   }
 
-  /// Whether one more request may start in another region. aFirstShare is the region's share while
-  /// there is no earlier window to compare with.
-  bool MayStart(TimePoint aNow, const RegionId& aRegion, double aFirstShare = 0) const;
+  /// Whether one more request may start in another region. aInitialShare is the region's share
+  /// while there is no earlier window to compare with.
+  bool MayStart(TimePoint aNow, const RegionId& aRegion, double aInitialShare = 0) const;
 
   /// A request was started, in any region.
   void OnStart(TimePoint aNow, const RegionId& aRegion);
@@ -34,19 +34,19 @@
   struct Slice
   {
     TimePoint start;
-    unsigned all = 0;
-    std::map<RegionId, unsigned> away; ///< Of these, in other regions.
+    unsigned total = 0;
+    std::map<RegionId, unsigned> startsByRegion; ///< Starts in each region other than this VM's.
   };
   struct Window
   {
-    unsigned all = 0;
-    unsigned away = 0;
+    unsigned total = 0;
+    unsigned inRegion = 0;
   };
-  Window Sum(TimePoint aFrom, TimePoint aUntil, const RegionId& aRegion) const;
+  Window SumSlices(TimePoint aFrom, TimePoint aUntil, const RegionId& aRegion) const;
 
   RegionId self_;
   double maxChange_;
-  std::deque<Slice> slices_; ///< Of two windows; the oldest first.
+  std::deque<Slice> slices_; ///< Cover the last two windows; the oldest first.
 };
 
 } // namespace dfm
--- a/include/dragonflymoor/Steering/SpillControl.h
+++ b/include/dragonflymoor/Steering/SpillControl.h
@@ -15,7 +15,8 @@
   /// gap between them keeps the share from oscillating.
   double moveAbove = 0.85;
   double returnBelow = 0.65;
-  /// A region takes keys only below this use, and gives them back above the other one.
+  /// Another region receives keys only below takeBelow of its use, and returns them above
+  /// giveBackAbove.
   double takeBelow = 0.7;
   double giveBackAbove = 0.9;
   /// Change of the share in one second. The platform allows a change of 15 % in 2 s; the rate
@@ -48,18 +49,18 @@
   }
 
   /// Chooses the shares with which the first requests are served, from the sizes of the regions
-  /// alone: what runs must not jump between regions later, and at a start everything is cold. To be
-  /// called instead of Update until there was a request.
-  void Prepare(const std::vector<RegionUse>& aUses);
+  /// alone: running traffic must not move abruptly between regions later, and after a start every
+  /// object is cold. To be called instead of UpdateShares until there was a request.
+  void SetInitialShares(const std::vector<RegionUse>& aUses);
 
   /// Adapts the shares. To be called several times a second.
-  void Update(TimePoint aNow, const std::vector<RegionUse>& aUses);
+  void UpdateShares(TimePoint aNow, const std::vector<RegionUse>& aUses);
 
-  /// The other region that serves aKey, or empty when the own one does.
-  std::optional<RegionId> RegionFor(uint64_t aKey) const;
+  /// The other region that serves aKey, or empty when this VM's region does.
+  std::optional<RegionId> SpillRegionFor(uint64_t aKey) const;
 
   /// Share of the keys that goes to other regions.
-  double Share() const;
+  double TotalShare() const;
   double ShareOf(const RegionId& aRegion) const;
 
 private:
--- a/include/dragonflymoor/Steering/SplitChooser.h
+++ b/include/dragonflymoor/Steering/SplitChooser.h
@@ -20,7 +20,7 @@
     std::vector<SplitPart> parts; ///< Start anew when these change.
     std::vector<double> credit;
   };
-  std::unordered_map<std::string, Credits> byRoute_;
+  std::unordered_map<std::string, Credits> creditsByRoute_;
 };
 
 } // namespace dfm
--- a/include/dragonflymoor/Steering/StoreFollowing.h
+++ b/include/dragonflymoor/Steering/StoreFollowing.h
@@ -15,61 +15,69 @@
   TimePoint startedAt;
 };
 
-/// Decides whether this VM follows the platform's store by calls of its own, which are priced and
-/// share the store's rate, or hears of changes from a VM that does. In each region a few VMs,
-/// agreed by a rule on the membership, follow it for the others. A VM that hears nothing follows it
+/// Decides whether this VM follows the platform's store, that is, reads and watches its objects by
+/// calls of its own, or receives changes from a VM that does. Calls are priced and share the
+/// store's rate limit, so in each region a few VMs, chosen from the membership by rendezvous
+/// hashing, follow the store for the others. A VM that gets no answer from them follows the store
 /// itself. No I/O, no clock. Not thread-safe.
 class StoreFollowing
 {
 public:
   explicit StoreFollowing(StoreFollowingOptions aOptions);
 
-  /// The live VMs that do not leave, this one included. The first call begins the time in which
-  /// membership learns of the others.
-  void OnMembers(TimePoint aNow, const std::vector<Vm>& aLive);
+  /// Sets the live VMs that are not leaving, this one included. The first call starts the settle
+  /// time, in which membership learns of the other VMs.
+  void OnMembershipChange(TimePoint aNow, const std::vector<Vm>& aLiveVms);
 
-  /// A call of this VM for a kind of objects ended. True when that changes Reachable().
-  bool OnCall(ObjectKind aKind, bool aAnswered);
+  /// A call of this VM to the store for objects of aKind ended. True when that changes
+  /// IsStoreReachable().
+  bool OnStoreCallEnd(ObjectKind aKind, bool aAnswered);
 
-  /// Another VM said that the store answers its own calls. True when this VM, which has never
-  /// reached the store, now takes it for reachable.
-  bool OnVouched(TimePoint aNow);
+  /// Another VM reported that the store answers its own calls. True when this VM, which has never
+  /// reached the store, now assumes that the store is reachable.
+  bool OnPeerReportsStoreReachable(TimePoint aNow);
 
-  /// The store answered the last call of each kind, or another VM vouched for it.
-  bool Reachable() const;
+  /// The store answered the last call of each kind, or another VM reported it reachable before this
+  /// VM ever reached it.
+  bool IsStoreReachable() const;
 
-  /// A VM that knows nothing yet waits for the seeds' answer before it calls the store.
-  bool WaitsForSeeds(TimePoint aNow) const;
+  /// Whether this VM, which knows nothing yet, waits for the seeds' answer before it calls the
+  /// store.
+  bool IsWaitingForSeeds(TimePoint aNow) const;
 
-  /// This VM needs no calls of its own: one that follows the store answers it.
-  bool IsServed(TimePoint aNow) const;
+  /// Whether this VM needs no calls to the store of its own, because a VM that follows the store
+  /// answers its state requests.
+  bool IsServedByFollower(TimePoint aNow) const;
 
-  /// This VM may tell others that the store answers: only its own calls count, as two VMs must not
-  /// rely on each other.
-  bool Vouches(TimePoint aNow) const { return Reachable() && !IsServed(aNow); }
+  /// Whether this VM may report to others that the store is reachable. Only its own calls count, as
+  /// two VMs must not rely on each other.
+  bool MayReportStoreReachable(TimePoint aNow) const
+  {
+    return IsStoreReachable() && !IsServedByFollower(aNow);
+  }
 
-  /// The VMs of which one is to be asked for the state; none for a VM that follows the store.
+  /// Peers of which one is to be asked for the fleet state; empty for a VM that follows the store.
   std::vector<Endpoint> PeersToAsk(TimePoint aNow, const std::vector<Vm>& aRegistered) const;
 
   /// Longest wait between two calls to a store that does not answer.
-  Duration LongestRetryWait(TimePoint aNow) const;
+  Duration MaxRetryWait(TimePoint aNow) const;
 
   /// Wait between two watches of one kind.
   Duration PauseBetweenWatches() const;
 
 private:
   bool IsSeed() const;
-  bool IsSettled(TimePoint aNow) const;
+  bool IsMembershipSettled(TimePoint aNow) const;
   bool IsFollower(TimePoint aNow) const;
 
   StoreFollowingOptions options_;
-  std::vector<Vm> live_;
-  std::vector<Vm> followers_; ///< Of the own region, as far as this VM knows its members.
-  size_t allFollowers_ = 1;   ///< Of all regions.
-  std::optional<TimePoint> membersSince_;
-  std::array<bool, kObjectKindCount> answered_{}; ///< The last call of each kind.
-  bool everReachable_ = false;
-  std::optional<TimePoint> vouchedAt_;
+  std::vector<Vm> liveVms_;
+  std::vector<Vm> followers_;        ///< Of the own region, as far as this VM knows its members.
+  size_t followersInAllRegions_ = 1; ///< Of all regions.
+  std::optional<TimePoint> membershipStartedAt_;
+  std::array<bool, kObjectKindCount> lastCallAnswered_{}; ///< The last call of each kind.
+  bool wasEverReachable_ = false;
+  std::optional<TimePoint> peerReportedReachableAt_;
 };
 
 } // namespace dfm
--- a/lib/Gateway/FleetSync.cpp
+++ b/lib/Gateway/FleetSync.cpp
@@ -54,7 +54,7 @@
               { "routes", std::to_string(aManifest.routes.size()) },
               { "services", std::to_string(aManifest.services.size()) } });
       },
-    .rejected =
+    .objectRejected =
       [&aMetrics](const Findings& aFindings) {
         aMetrics.Count("objects-rejected");
         std::string text = FormatFindings(aFindings);
@@ -69,7 +69,7 @@
               { "service", aInstance.service.Value() },
               { "failure_domain", aInstance.failureDomain.Value() },
               { "endpoint", ToText(aInstance.endpoint) },
-              { "born_ms", std::to_string(aInstance.bornMs) },
+              { "born_ms", std::to_string(aInstance.startTimeMs) },
               { "change", std::string(aChange) } });
       },
   };
@@ -162,14 +162,14 @@
         "store call failed",
         { { "kind", std::string(ToString(aKind)) }, { "error", aError->message } });
   }
-  if (following_.OnCall(aKind, !aError))
-    OnStoreReachable(following_.Reachable() ? "store regained" : "store lost");
+  if (following_.OnStoreCallEnd(aKind, !aError))
+    OnStoreReachable(following_.IsStoreReachable() ? "store regained" : "store lost");
 }
 
 void
 FleetSync::OnStoreReachable(std::string_view aMessage)
 {
-  const bool reachable = following_.Reachable();
+  const bool reachable = following_.IsStoreReachable();
   Log(LogLevel::Info, kComponent, aMessage);
   metrics_.SetGauge("store_reachable", reachable ? 1 : 0);
   keeper_.OnStoreReachable(ReadClocks().monotonic, reachable);
@@ -184,7 +184,7 @@
     co_return false;
   }
   OnStoreAnswer(aKind, std::nullopt);
-  keeper_.OnSet(ReadClocks().monotonic, aKind, *set);
+  keeper_.OnSnapshot(ReadClocks().monotonic, aKind, *set);
   viewChanged_ = true;
   co_return true;
 }
@@ -194,17 +194,19 @@
 {
   Duration wait = kFirstRetryWait;
   bool listed = false;
-  while (keeper_.Set(aKind).revision == 0 && following_.WaitsForSeeds(ReadClocks().monotonic))
+  while (keeper_.Snapshot(aKind).revision == 0 &&
+         following_.IsWaitingForSeeds(ReadClocks().monotonic))
     co_await Sleep(kTickPeriod);
   for (;;) {
-    if (keeper_.Set(aKind).revision > 0 && following_.IsServed(ReadClocks().monotonic)) {
+    if (keeper_.Snapshot(aKind).revision > 0 &&
+        following_.IsServedByFollower(ReadClocks().monotonic)) {
       co_await Sleep(kAskPeriod);
       continue;
     }
     if (!listed) {
       listed = co_await ListKind(aKind);
     } else {
-      auto changes = co_await store_.watch(aKind, keeper_.Set(aKind).revision, kWatchWait);
+      auto changes = co_await store_.watch(aKind, keeper_.Snapshot(aKind).revision, kWatchWait);
       if (changes) {
         OnStoreAnswer(aKind, std::nullopt);
         keeper_.OnChanges(ReadClocks().monotonic, aKind, changes->revision, changes->changes);
@@ -227,7 +229,7 @@
       continue;
     }
     co_await Sleep(wait);
-    wait = std::min(2 * wait, following_.LongestRetryWait(ReadClocks().monotonic));
+    wait = std::min(2 * wait, following_.MaxRetryWait(ReadClocks().monotonic));
   }
 }
 
@@ -310,7 +312,7 @@
   connection->Start();
   StateRequest request;
   for (size_t i = 0; i < kObjectKindCount; ++i)
-    request.revisions[i] = keeper_.Set(static_cast<ObjectKind>(i)).revision;
+    request.revisions[i] = keeper_.Snapshot(static_cast<ObjectKind>(i)).revision;
   connection->Send({ .payload = EncodePeer(options_.self.id, request) });
   co_await done->async_wait(kAwaitTuple);
   connection->Close();
@@ -355,12 +357,12 @@
 FleetSync::ReplyTo(const StateRequest& aRequest) const
 {
   const TimePoint now = ReadClocks().monotonic;
-  const bool vouches = following_.Vouches(now);
+  const bool vouches = following_.MayReportStoreReachable(now);
   StateReply reply{ .storeSteady = vouches && keeper_.IsStoreSteady(now),
                     .storeReachable = vouches };
   for (size_t i = 0; i < kObjectKindCount; ++i) {
     const auto kind = static_cast<ObjectKind>(i);
-    const ObjectSet& set = keeper_.Set(kind);
+    const ObjectSet& set = keeper_.Snapshot(kind);
     if (set.revision <= aRequest.revisions[i])
       continue;
     const auto changes = keeper_.ChangesSince(kind, aRequest.revisions[i]);
@@ -368,7 +370,7 @@
       reply.kinds.push_back({ .kind = kind, .set = set });
       continue;
     }
-    StateReply::Kind answer{ .kind = kind, .set = { .revision = set.revision }, .whole = false };
+    StateReply::Kind answer{ .kind = kind, .set = { .revision = set.revision }, .complete = false };
     for (const ObjectChange& change : *changes) {
       if (change.content)
         answer.set.objects[change.name] = *change.content;
@@ -384,12 +386,12 @@
 FleetSync::OnState(const VmId& aFrom, const StateReply& aReply)
 {
   const TimePoint now = ReadClocks().monotonic;
-  keeper_.OnStoreElsewhere(now, aReply.storeSteady);
-  if (aReply.storeReachable && following_.OnVouched(now))
+  keeper_.OnPeerStoreStatus(now, aReply.storeSteady);
+  if (aReply.storeReachable && following_.OnPeerReportsStoreReachable(now))
     OnStoreReachable("store reached through another vm");
   for (const StateReply::Kind& kind : aReply.kinds) {
-    if (kind.whole) {
-      keeper_.OnSet(now, kind.kind, kind.set);
+    if (kind.complete) {
+      keeper_.OnSnapshot(now, kind.kind, kind.set);
       viewChanged_ = true;
     } else {
       std::vector<ObjectChange> changes;
@@ -406,7 +408,7 @@
         { { "vm", aFrom.Value() },
           { "kind", std::string(ToString(kind.kind)) },
           { "revision", std::to_string(kind.set.revision) },
-          { "whole", kind.whole ? "1" : "0" } });
+          { "whole", kind.complete ? "1" : "0" } });
   }
 }
 
@@ -433,10 +435,10 @@
 {
   if (!membershipStarted_ && keeper_.HasManifest())
     StartMembership();
-  auto view = std::make_shared<FleetView>(keeper_.View());
+  auto view = std::make_shared<FleetView>(keeper_.BuildView());
   if (membershipStarted_) {
     view->usableVms = membership_->LiveNotLeaving();
-    following_.OnMembers(ReadClocks().monotonic, view->usableVms);
+    following_.OnMembershipChange(ReadClocks().monotonic, view->usableVms);
     for (const MemberUpdate& member : membership_->Members()) {
       if (member.state != MemberState::Left)
         view->knownVms.push_back(member.vm);
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -135,22 +135,22 @@
 Gateway::Impl::MakeDispatcherHooks()
 {
   return {
-    .start = [this](const InstanceAttempt& aAttempt) { front.Start(aAttempt); },
-    .refuse = [this](Ticket aTicket,
-                     const RequestRefusal& aRefusal) { front.Refuse(aTicket, aRefusal); },
-    .abandon = [this](Ticket aTicket) { front.Abandon(aTicket); },
-    .probe =
+    .startAttempt = [this](const InstanceAttempt& aAttempt) { front.Start(aAttempt); },
+    .refuseRequest = [this](Ticket aTicket,
+                            const RequestRefusal& aRefusal) { front.Refuse(aTicket, aRefusal); },
+    .abandonAttempt = [this](Ticket aTicket) { front.Abandon(aTicket); },
+    .sendProbe =
       [this](const Instance& aInstance, const ServiceSpec& aSpec) {
         asio::co_spawn(traffic, Probe(aInstance, aSpec.healthPath), asio::detached);
       },
-    .crashed =
+    .publishCrash =
       [this](const CrashReport& aReport) {
         Log(LogLevel::Warning,
             kComponent,
             "request crashed an instance",
             { { "fingerprint", fmt::format("{:016x}", aReport.fingerprint) } });
         loads.SendToAll(
-          PeerCrash{ .reportId = aReport.reportId, .fingerprint = aReport.fingerprint });
+          PeerCrashReport{ .reportId = aReport.reportId, .fingerprint = aReport.fingerprint });
       },
   };
 }
@@ -195,7 +195,7 @@
   const TimePoint now = ReadClocks().monotonic;
   if (const auto* load = std::get_if<PeerLoad>(&aEnvelope.message)) {
     dispatcher.OnPeerLoad(now, aEnvelope.sender, *load);
-  } else if (const auto* crash = std::get_if<PeerCrash>(&aEnvelope.message)) {
+  } else if (const auto* crash = std::get_if<PeerCrashReport>(&aEnvelope.message)) {
     dispatcher.OnCrashReport(now,
                              { .reportId = crash->reportId, .fingerprint = crash->fingerprint });
   }
@@ -281,8 +281,8 @@
     if (now >= nextSlow) {
       nextSlow = now + kSlowTickPeriod;
       front.OnTick(now);
-      metrics.SetGauge("requests_waiting", static_cast<double>(dispatcher.Waiting()));
-      metrics.SetGauge("requests_in_flight", static_cast<double>(dispatcher.InFlight()));
+      metrics.SetGauge("requests_waiting", static_cast<double>(dispatcher.WaitingCount()));
+      metrics.SetGauge("requests_in_flight", static_cast<double>(dispatcher.InFlightCount()));
     }
     if (now >= nextFlush) {
       nextFlush = now + kLogFlushPeriod;
--- a/lib/Steering/Dispatcher.cpp
+++ b/lib/Steering/Dispatcher.cpp
@@ -12,44 +12,46 @@
 
 /// Bounds, as parts of the goal, of the time that a request waits for a slot before it is refused.
 /// Within an eighth of the goal a refusal costs the caller nothing.
-constexpr double kShortestHold = 0.125;
-constexpr double kLongestHold = 0.5;
+constexpr double kMinWaitShare = 0.125;
+constexpr double kMaxWaitShare = 0.5;
 
-/// Part of the hold time after which the newest requests are served first: the oldest would be
-/// answered late, and the newer ones after them.
+/// Part of the maximum waiting time after which the newest requests are served first: otherwise the
+/// oldest would be answered late, and the newer ones after them as well.
 constexpr double kNewestFirstShare = 0.5;
 
 /// Part of the platform's bound that all VMs together use for repeats; the rest covers VMs that
 /// start or stop while the shares change.
-constexpr double kRetryUse = 0.7;
+constexpr double kRetryBudgetShare = 0.7;
 
 /// Part of the platform's bound on moves between regions that this VM uses; the rest covers VMs
 /// that decide at different moments and with few requests each.
-constexpr double kShiftUse = 0.67;
+constexpr double kShiftLimitShare = 0.67;
 
 /// A retry needs at least this part of the service's usual latency, or its answer comes too late.
-constexpr double kLeastRetryTime = 0.5;
+constexpr double kMinRetryTimeShare = 0.5;
 
-/// Instances that one request tries, those that could not be reached included.
+/// Maximum number of instances that one request tries, including those that could not be reached.
 constexpr size_t kMaxTried = 5;
 
-/// An instance from which nothing was heard for this many times the usual latency, and at least the
-/// minimum, is checked. Slow instances answer within this factor.
+/// An instance with requests in flight that has not answered for this many times the usual latency,
+/// and at least kMinSilence, is taken for unreachable until a health check passes. Slow instances
+/// answer within this factor.
 constexpr double kSilenceFactor = 4;
-constexpr Duration kLeastSilence = 400ms;
+constexpr Duration kMinSilence = 400ms;
 
-/// Nor is it checked before this many goals of its service: at a start nothing is known of the
-/// latency, and cold objects take longer than the goal.
-constexpr double kSilentGoals = 2;
+/// A silent instance is not checked before this many times its service's latency goal either: after
+/// a start the latency is unknown, and cold objects take longer than the goal.
+constexpr double kMinSilenceGoals = 2;
 
-constexpr Duration kSilencePeriod = 50ms;
+constexpr Duration kSilenceCheckPeriod = 50ms;
 
-/// Refused callers come back spread over this span: later than the requests that wait now are done,
-/// and within the third of their time that they grant.
-constexpr Duration kRetryAfterLow = 150ms;
-constexpr Duration kRetryAfterHigh = 400ms;
+/// Bounds of the random retry delay given to refused callers: after the requests that wait now are
+/// done, and within the third of their time that callers allow for it.
+constexpr Duration kMinRetryAfter = 150ms;
+constexpr Duration kMaxRetryAfter = 400ms;
 
-/// Weight of the latest answer in a service's mean latency; some dozens of answers decide.
+/// Weight of the latest answer in a service's moving mean latency, which thus covers some dozens of
+/// answers.
 constexpr double kLatencyWeight = 0.03;
 
 /// A request that crashed this many instances is not sent to another one.
@@ -104,14 +106,14 @@
   , hooks_(std::move(aHooks))
   , random_(options_.randomSeed)
   , view_(std::make_shared<FleetView>())
-  , shifts_(options_.region, kShiftUse * options_.maxShift)
-  , retries_({ .perRequest = kRetryUse * options_.retryRatio, .burst = 1 })
+  , shifts_(options_.region, kShiftLimitShare * options_.maxShift)
+  , retries_({ .perRequest = kRetryBudgetShare * options_.retryRatio, .burst = 1 })
   , crashes_(kCrashOptions, random_.Next())
 {
 }
 
 Dispatcher::ServiceState&
-Dispatcher::StateOf(const ServiceId& aService)
+Dispatcher::ServiceStateFor(const ServiceId& aService)
 {
   const auto found = services_.find(aService);
   if (found != services_.end())
@@ -122,10 +124,10 @@
 }
 
 InstanceTracker*
-Dispatcher::Find(const BackendId& aInstance)
+Dispatcher::FindInstance(const BackendId& aInstance)
 {
-  const auto found = instances_.find(aInstance);
-  return found == instances_.end() ? nullptr : found->second.get();
+  const auto found = trackers_.find(aInstance);
+  return found == trackers_.end() ? nullptr : found->second.get();
 }
 
 void
@@ -133,11 +135,11 @@
 {
   view_ = std::move(aView);
   const auto vms = static_cast<double>(std::max<size_t>(view_->knownVms.size(), 1));
-  retries_.SetBurst(std::max(1.0, kRetryUse * options_.retrySlack / vms));
+  retries_.SetBurst(std::max(1.0, kRetryBudgetShare * options_.retrySlack / vms));
 
-  std::map<BackendId, std::unique_ptr<InstanceTracker>> previous = std::move(instances_);
-  instances_.clear();
-  byHash_.clear();
+  std::map<BackendId, std::unique_ptr<InstanceTracker>> previous = std::move(trackers_);
+  trackers_.clear();
+  trackersByHash_.clear();
   for (auto& [service, state] : services_)
     state.regions.clear();
   for (auto& [ticket, request] : requests_)
@@ -154,13 +156,13 @@
     state->SetEvacuated(view_->evacuated.contains(spec.failureDomain));
     state->SetColdRate(state->IsCold(aNow) ? ColdRateFor(spec) : 0);
     const uint32_t hash = ShortHash(spec.id);
-    state->SetPeerInFlight(peerLoads_.At(hash));
-    byHash_[hash] = state.get();
-    AddCandidate(StateOf(spec.service).regions[spec.region], *state);
-    instances_[spec.id] = std::move(state);
+    state->SetPeerInFlight(peerLoads_.InFlightAt(hash));
+    trackersByHash_[hash] = state.get();
+    AddCandidate(ServiceStateFor(spec.service).regions[spec.region], *state);
+    trackers_[spec.id] = std::move(state);
   }
   for (auto& [service, state] : services_)
-    Pump(aNow, service);
+    StartWaitingRequests(aNow, service);
 }
 
 void
@@ -173,7 +175,7 @@
   if (domain == domains.end())
     domains.push_back(spec.failureDomain);
   aCandidates.list.push_back(
-    { .state = &aInstance, .hash = HashBytes(spec.id.Value()), .domain = index });
+    { .tracker = &aInstance, .hash = HashBytes(spec.id.Value()), .domain = index });
 }
 
 void
@@ -185,8 +187,8 @@
   request.sticky = request.spec.route->sticky && request.spec.affinity;
   request.key = request.sticky ? *request.spec.affinity : random_.Next();
   retries_.OnRequest(request.service);
-  ServiceState& state = StateOf(request.service);
-  state.begun = true;
+  ServiceState& state = ServiceStateFor(request.service);
+  state.hadRequests = true;
   state.longestGoal = std::max(state.longestGoal, request.spec.route->goal);
   if (request.sticky)
     state.objects.OnRequest(request.key);
@@ -195,7 +197,7 @@
     Refuse(aNow, aTicket, RefusalReason::Quarantine);
     return;
   }
-  // Requests that wait already go first, unless they wait for other instances.
+  // Requests that already wait go first, unless they wait for other instances.
   if (!TryStart(aNow, aTicket, stored))
     Enqueue(state, aTicket, stored);
 }
@@ -213,8 +215,8 @@
 bool
 Dispatcher::TryStart(TimePoint aNow, Ticket aTicket, Request& aRequest)
 {
-  const ServiceState& state = StateOf(aRequest.service);
-  InstanceTracker* const instance = Choose(aNow, aRequest, state);
+  const ServiceState& state = ServiceStateFor(aRequest.service);
+  InstanceTracker* const instance = ChooseInstance(aNow, aRequest, state);
   if (instance == nullptr)
     return false;
   const Instance& spec = instance->Spec();
@@ -227,7 +229,7 @@
     .idempotent = aRequest.spec.route->idempotent,
     .number = aRequest.attempts + 1,
     .ownInFlight = instance->OwnInFlight(),
-    .busy = instance->Busy(),
+    .knownInFlight = instance->KnownInFlight(),
     .slots = spec.slots,
     .spilled = spec.region != options_.region,
     .waited = aNow - aRequest.spec.arrived,
@@ -237,8 +239,8 @@
   ++aRequest.attempts;
   aRequest.tried.push_back(spec.id);
   aRequest.rankings.clear();
-  aRequest.at = spec.id;
-  hooks_.start(attempt);
+  aRequest.currentInstance = spec.id;
+  hooks_.startAttempt(attempt);
   return true;
 }
 
@@ -247,7 +249,7 @@
 {
   const auto found = requests_.find(aTicket);
   assert(found != requests_.end() && "only a known request is refused");
-  const ServiceState& state = StateOf(found->second.service);
+  const ServiceState& state = ServiceStateFor(found->second.service);
   RequestRefusal refusal{ .reason = aReason,
                           .retryAfter = RetryAfter(),
                           .waited = aNow - found->second.spec.arrived,
@@ -255,30 +257,30 @@
                           .waiting = state.queue.size() };
   for (const auto& [region, candidates] : state.regions) {
     for (const Candidate& candidate : candidates.list) {
-      if (candidate.state->WhyUnusable(aNow) != Unusable::No)
+      if (candidate.tracker->UnusableReasonAt(aNow) != Unusable::None)
         continue;
       ++refusal.instances;
-      refusal.slots += candidate.state->Spec().slots;
-      refusal.busy += candidate.state->Busy();
+      refusal.slots += candidate.tracker->Spec().slots;
+      refusal.knownInFlight += candidate.tracker->KnownInFlight();
     }
   }
   requests_.erase(found);
-  hooks_.refuse(aTicket, refusal);
+  hooks_.refuseRequest(aTicket, refusal);
 }
 
 Duration
 Dispatcher::RetryAfter()
 {
-  return random_.Between(kRetryAfterLow, kRetryAfterHigh);
+  return random_.Between(kMinRetryAfter, kMaxRetryAfter);
 }
 
 std::vector<Ticket>
-Dispatcher::WaitingOrder(TimePoint aNow, const ServiceState& aState) const
+Dispatcher::OrderWaitingRequests(TimePoint aNow, const ServiceState& aState) const
 {
   std::vector<Ticket> order(aState.queue.begin(), aState.queue.end());
   const Request& oldest = requests_.at(order.front());
-  const Duration turning = Scale(HoldTime(oldest, aState), kNewestFirstShare);
-  if (aNow - oldest.spec.arrived > turning)
+  const Duration newestFirstAfter = Scale(MaxWaitTime(oldest, aState), kNewestFirstShare);
+  if (aNow - oldest.spec.arrived > newestFirstAfter)
     std::reverse(order.begin(), order.end());
   std::stable_sort(order.begin(), order.end(), [this](Ticket aLeft, Ticket aRight) {
     return requests_.at(aLeft).spec.route->priority < requests_.at(aRight).spec.route->priority;
@@ -291,8 +293,8 @@
 {
   for (const auto& [region, candidates] : aState.regions) {
     for (const Candidate& candidate : candidates.list) {
-      if (candidate.state->FreeSlots(aNow) > 0 &&
-          candidate.state->WhyUnusable(aNow) == Unusable::No)
+      if (candidate.tracker->FreeSlots(aNow) > 0 &&
+          candidate.tracker->UnusableReasonAt(aNow) == Unusable::None)
         return true;
     }
   }
@@ -300,12 +302,12 @@
 }
 
 void
-Dispatcher::Pump(TimePoint aNow, const ServiceId& aService)
+Dispatcher::StartWaitingRequests(TimePoint aNow, const ServiceId& aService)
 {
-  ServiceState& state = StateOf(aService);
+  ServiceState& state = ServiceStateFor(aService);
   if (state.queue.empty())
     return;
-  for (const Ticket ticket : WaitingOrder(aNow, state)) {
+  for (const Ticket ticket : OrderWaitingRequests(aNow, state)) {
     if (!HasFreeSlot(aNow, state))
       return;
     if (TryStart(aNow, ticket, requests_.at(ticket)))
@@ -320,32 +322,32 @@
   if (found == requests_.end())
     return;
   const ServiceId service = found->second.service;
-  if (found->second.at) {
-    if (InstanceTracker* const instance = Find(*found->second.at))
+  if (found->second.currentInstance) {
+    if (InstanceTracker* const instance = FindInstance(*found->second.currentInstance))
       instance->OnEnd();
   } else {
-    StateOf(service).queue.remove(aTicket);
+    ServiceStateFor(service).queue.remove(aTicket);
   }
   requests_.erase(found);
-  Pump(aNow, service);
+  StartWaitingRequests(aNow, service);
 }
 
 void
-Dispatcher::CountCrashes(TimePoint aNow, InstanceTracker& aInstance)
+Dispatcher::ReportCrashes(TimePoint aNow, InstanceTracker& aInstance)
 {
   for (const uint64_t fingerprint : aInstance.TakeCrashSuspects(aNow))
-    hooks_.crashed(crashes_.OnCrash(aNow, {}, fingerprint));
+    hooks_.publishCrash(crashes_.OnCrash(aNow, {}, fingerprint));
 }
 
 void
-Dispatcher::Learn(TimePoint aNow, Request& aRequest, const AttemptEndReport& aReport)
+Dispatcher::RecordAttemptEnd(TimePoint aNow, Request& aRequest, const AttemptEndReport& aReport)
 {
   using Kind = AttemptEndReport::Kind;
-  ServiceState& state = StateOf(aRequest.service);
-  InstanceTracker* const instance = Find(*aRequest.at);
-  aRequest.at.reset();
+  ServiceState& state = ServiceStateFor(aRequest.service);
+  InstanceTracker* const instance = FindInstance(*aRequest.currentInstance);
+  aRequest.currentInstance.reset();
   if (instance == nullptr)
-    return; // The instance left meanwhile.
+    return; // The instance was removed in the meantime.
   instance->OnEnd();
   switch (aReport.kind) {
     case Kind::Answered:
@@ -368,7 +370,7 @@
       return;
     case Kind::NotSent:
       instance->OnUnreachable(aNow);
-      CountCrashes(aNow, *instance);
+      ReportCrashes(aNow, *instance);
       return;
     case Kind::Broken:
       instance->OnFailure(aNow, false);
@@ -377,7 +379,7 @@
       return;
     case Kind::TimedOut:
     case Kind::Abandoned:
-      return; // The check of silent instances decides about it.
+      return; // CheckSilentInstances decides whether the instance is unreachable.
   }
 }
 
@@ -386,13 +388,14 @@
 {
   using Kind = AttemptEndReport::Kind;
   const Route& route = *aRequest.spec.route;
-  const Duration least = Scale(StateOf(aRequest.service).typicalLatency, kLeastRetryTime);
-  if (aNow + least > aRequest.spec.deadline || aRequest.tried.size() >= kMaxTried)
+  const Duration minRetryTime =
+    Scale(ServiceStateFor(aRequest.service).typicalLatency, kMinRetryTimeShare);
+  if (aNow + minRetryTime > aRequest.spec.deadline || aRequest.tried.size() >= kMaxTried)
     return false;
   if (crashes_.IsBlocked(aNow, {}, aRequest.spec.fingerprint))
     return false;
   if (aReport.kind == Kind::NotSent)
-    return true; // No instance got anything: the first one is still to come.
+    return true; // No instance received any byte, so the next attempt still counts as the first.
   if (!route.idempotent && aReport.kind != Kind::NotExecuted)
     return false;
   return aRequest.attempts < route.maxAttempts && retries_.TryTake(aRequest.service);
@@ -403,11 +406,11 @@
 {
   using Kind = AttemptEndReport::Kind;
   const auto found = requests_.find(aTicket);
-  assert(found != requests_.end() && found->second.at && "the attempt is in flight");
+  assert(found != requests_.end() && found->second.currentInstance && "the attempt is in flight");
   Request& request = found->second;
   const ServiceId service = request.service;
   const bool failedAnswer = aReport.kind == Kind::Answered && aReport.status >= 500;
-  Learn(aNow, request, aReport);
+  RecordAttemptEnd(aNow, request, aReport);
   if (aReport.kind == Kind::NotSent)
     --request.attempts;
   else if (aReport.kind != Kind::NotExecuted)
@@ -422,24 +425,24 @@
   }
   if (verdict == Verdict::Retry) {
     if (!TryStart(aNow, aTicket, request))
-      Enqueue(StateOf(service), aTicket, request);
+      Enqueue(ServiceStateFor(service), aTicket, request);
   } else {
     requests_.erase(found);
   }
-  Pump(aNow, service);
+  StartWaitingRequests(aNow, service);
   return verdict;
 }
 
 void
-Dispatcher::Abandon(const BackendId& aInstance)
+Dispatcher::AbandonAttempts(const BackendId& aInstance)
 {
   std::vector<Ticket> abandoned;
   for (const auto& [ticket, request] : requests_) {
-    if (request.at == aInstance && request.spec.route->idempotent)
+    if (request.currentInstance == aInstance && request.spec.route->idempotent)
       abandoned.push_back(ticket);
   }
   for (const Ticket ticket : abandoned)
-    hooks_.abandon(ticket);
+    hooks_.abandonAttempt(ticket);
 }
 
 void
@@ -448,25 +451,25 @@
                     ProbeResult aResult,
                     Duration aColdLeft)
 {
-  InstanceTracker* const instance = Find(aInstance);
+  InstanceTracker* const instance = FindInstance(aInstance);
   if (instance == nullptr)
     return;
   instance->OnProbe(aNow, aResult, aColdLeft);
   if (instance->IsCold(aNow))
     instance->SetColdRate(ColdRateFor(instance->Spec()));
   if (aResult == ProbeResult::Unreachable) {
-    CountCrashes(aNow, *instance);
-    Abandon(aInstance);
+    ReportCrashes(aNow, *instance);
+    AbandonAttempts(aInstance);
     return;
   }
-  Pump(aNow, instance->Spec().service);
+  StartWaitingRequests(aNow, instance->Spec().service);
 }
 
 void
 Dispatcher::OnPeerLoad(TimePoint aNow, const VmId& aVm, const PeerLoad& aLoad)
 {
-  // Requests that wait see the freed slots at the next tick: with many VMs reports arrive far more
-  // often than that.
+  // Waiting requests use the freed slots from the next tick on: with many VMs, reports arrive far
+  // more often than ticks.
   ApplyPeerLoads(peerLoads_.OnReport(aNow, aVm, aLoad));
 }
 
@@ -474,9 +477,9 @@
 Dispatcher::ApplyPeerLoads(const std::vector<uint32_t>& aInstances)
 {
   for (const uint32_t hash : aInstances) {
-    const auto instance = byHash_.find(hash);
-    if (instance != byHash_.end())
-      instance->second->SetPeerInFlight(peerLoads_.At(hash));
+    const auto instance = trackersByHash_.find(hash);
+    if (instance != trackersByHash_.end())
+      instance->second->SetPeerInFlight(peerLoads_.InFlightAt(hash));
   }
 }
 
@@ -487,91 +490,92 @@
 }
 
 Duration
-Dispatcher::HoldTime(const Request& aRequest, const ServiceState& aState) const
+Dispatcher::MaxWaitTime(const Request& aRequest, const ServiceState& aState) const
 {
   const Duration goal = aRequest.spec.route->goal;
   return std::clamp(
-    goal - aState.typicalLatency, Scale(goal, kShortestHold), Scale(goal, kLongestHold));
+    goal - aState.typicalLatency, Scale(goal, kMinWaitShare), Scale(goal, kMaxWaitShare));
 }
 
 void
-Dispatcher::CheckWaiting(TimePoint aNow)
+Dispatcher::RefuseExpiredRequests(TimePoint aNow)
 {
   for (auto& [service, state] : services_) {
     std::vector<Ticket> expired;
     for (const Ticket ticket : state.queue) {
       const Request& request = requests_.at(ticket);
-      if (aNow - request.spec.arrived >= HoldTime(request, state) || aNow >= request.spec.deadline)
+      if (aNow - request.spec.arrived >= MaxWaitTime(request, state) ||
+          aNow >= request.spec.deadline)
         expired.push_back(ticket);
     }
     for (const Ticket ticket : expired) {
       state.queue.remove(ticket);
-      const bool usable =
+      const bool hasUsableInstance =
         std::any_of(state.regions.begin(), state.regions.end(), [aNow](const auto& aRegion) {
-          return HasUsable(aNow, aRegion.second);
+          return HasUsableInstance(aNow, aRegion.second);
         });
       const bool timedOut = aNow >= requests_.at(ticket).spec.deadline;
       Refuse(aNow,
              ticket,
              timedOut ? RefusalReason::TimedOut
-                      : (usable ? RefusalReason::Overload : RefusalReason::NoInstance));
+                      : (hasUsableInstance ? RefusalReason::Overload : RefusalReason::NoInstance));
     }
   }
 }
 
 void
-Dispatcher::CheckSilence(TimePoint aNow)
+Dispatcher::CheckSilentInstances(TimePoint aNow)
 {
-  for (const auto& [id, instance] : instances_) {
+  for (const auto& [id, instance] : trackers_) {
     if (instance->OwnInFlight() == 0)
       continue;
-    const ServiceState& state = StateOf(instance->Spec().service);
+    const ServiceState& state = ServiceStateFor(instance->Spec().service);
     const Duration usual = std::max(state.typicalLatency, instance->MeanLatency());
-    const Duration longest = std::max(
-      { kLeastSilence, Scale(usual, kSilenceFactor), Scale(state.longestGoal, kSilentGoals) });
-    if (aNow - instance->LastHeard() > longest)
+    const Duration maxSilence = std::max(
+      { kMinSilence, Scale(usual, kSilenceFactor), Scale(state.longestGoal, kMinSilenceGoals) });
+    if (aNow - instance->LastResponseTime() > maxSilence)
       instance->OnUnreachable(aNow);
   }
 }
 
 void
-Dispatcher::CheckProbes(TimePoint aNow)
+Dispatcher::SendDueProbes(TimePoint aNow)
 {
   if (view_->routes == nullptr)
     return;
   const auto& specs = view_->routes->GetManifest().services;
-  for (const auto& [id, instance] : instances_) {
-    const auto due = instance->ProbeDueAt();
+  for (const auto& [id, instance] : trackers_) {
+    const auto due = instance->NextProbeTime();
     const auto spec = specs.find(instance->Spec().service);
     if (!due || *due > aNow || spec == specs.end() || instance->Spec().draining)
       continue;
     instance->OnProbeSent(aNow);
-    hooks_.probe(instance->Spec(), spec->second);
+    hooks_.sendProbe(instance->Spec(), spec->second);
   }
 }
 
 void
 Dispatcher::OnTick(TimePoint aNow)
 {
-  for (const auto& [id, instance] : instances_)
+  for (const auto& [id, instance] : trackers_)
     instance->OnTick(aNow);
   if (aNow >= nextSilenceCheck_) {
     ApplyPeerLoads(peerLoads_.DropExpired(aNow));
-    nextSilenceCheck_ = aNow + kSilencePeriod;
-    CheckSilence(aNow);
-    CheckProbes(aNow);
+    nextSilenceCheck_ = aNow + kSilenceCheckPeriod;
+    CheckSilentInstances(aNow);
+    SendDueProbes(aNow);
   }
   BalanceRegions(aNow);
   for (const auto& [service, state] : services_)
-    Pump(aNow, service);
-  CheckWaiting(aNow);
+    StartWaitingRequests(aNow, service);
+  RefuseExpiredRequests(aNow);
 }
 
 std::vector<InstanceLoad>
 Dispatcher::OwnLoad() const
 {
   std::vector<InstanceLoad> loads;
-  for (const auto& [hash, instance] : byHash_) {
+  for (const auto& [hash, instance] : trackersByHash_) {
     if (instance->OwnInFlight() > 0)
       loads.push_back(
         { .instance = hash, .inFlight = static_cast<uint16_t>(instance->OwnInFlight()) });
@@ -580,7 +584,7 @@
 }
 
 size_t
-Dispatcher::Waiting() const
+Dispatcher::WaitingCount() const
 {
   size_t waiting = 0;
   for (const auto& [service, state] : services_)
@@ -589,9 +593,9 @@
 }
 
 size_t
-Dispatcher::InFlight() const
+Dispatcher::InFlightCount() const
 {
-  return requests_.size() - Waiting();
+  return requests_.size() - WaitingCount();
 }
 
 } // namespace dfm
--- a/lib/Steering/FleetKeeper.cpp
+++ b/lib/Steering/FleetKeeper.cpp
@@ -9,15 +9,15 @@
 
 /// The platform promises that live instances are registered again about 2 s after the store
 /// returns.
-constexpr Duration kRegisterAgainTime = 2200ms;
+constexpr Duration kReregistrationTime = 2200ms;
 
-/// How long another VM's word that the store answers it counts. Without the store this VM asks
-/// several times in this span.
-constexpr Duration kSteadyElsewhereLife = 1500ms;
+/// How long another VM's report that its store state is steady remains valid. While this VM cannot
+/// reach the store, it asks several times in this span.
+constexpr Duration kPeerReportLifetime = 1500ms;
 
 /// Changes of one kind that are remembered for other VMs; more than a replacement of all instances
 /// of a service brings.
-constexpr size_t kMaxHistory = 1024;
+constexpr size_t kMaxHistoryEntries = 1024;
 
 } // namespace
 
@@ -42,9 +42,9 @@
 }
 
 void
-FleetKeeper::OnSet(TimePoint aNow, ObjectKind aKind, const ObjectSet& aSet)
+FleetKeeper::OnSnapshot(TimePoint aNow, ObjectKind aKind, const ObjectSet& aSet)
 {
-  ObjectSet& known = MutableSet(aKind);
+  ObjectSet& known = MutableSnapshot(aKind);
   if (aSet.revision < known.revision)
     return;
   std::vector<ObjectChange> changes;
@@ -66,24 +66,24 @@
                        uint64_t aRevision,
                        const std::vector<ObjectChange>& aChanges)
 {
-  ObjectSet& set = MutableSet(aKind);
+  ObjectSet& set = MutableSnapshot(aKind);
   if (aRevision < set.revision)
     return;
   History& history = histories_[static_cast<size_t>(aKind)];
   if (set.revision == 0)
-    history.since = aRevision;
+    history.completeSince = aRevision;
   set.revision = aRevision;
   for (const ObjectChange& change : aChanges) {
     history.names.emplace_back(aRevision, change.name);
-    if (history.names.size() > kMaxHistory) {
-      history.since = history.names.front().first;
+    if (history.names.size() > kMaxHistoryEntries) {
+      history.completeSince = history.names.front().first;
       history.names.pop_front();
     }
     if (change.content)
       set.objects[change.name] = *change.content;
     else
       set.objects.erase(change.name);
-    Apply(aNow, aKind, change);
+    ApplyChange(aNow, aKind, change);
   }
 }
 
@@ -91,9 +91,9 @@
 FleetKeeper::ChangesSince(ObjectKind aKind, uint64_t aRevision) const
 {
   const History& history = histories_[static_cast<size_t>(aKind)];
-  if (aRevision < history.since)
+  if (aRevision < history.completeSince)
     return std::nullopt;
-  const ObjectSet& set = Set(aKind);
+  const ObjectSet& set = Snapshot(aKind);
   std::set<std::string> names;
   for (const auto& [revision, name] : history.names) {
     if (revision > aRevision)
@@ -110,7 +110,7 @@
 }
 
 void
-FleetKeeper::Apply(TimePoint aNow, ObjectKind aKind, const ObjectChange& aChange)
+FleetKeeper::ApplyChange(TimePoint aNow, ObjectKind aKind, const ObjectChange& aChange)
 {
   if (aKind == ObjectKind::Manifest && aChange.content)
     ApplyManifest(*aChange.content);
@@ -123,16 +123,16 @@
 {
   auto manifest = decoders_.manifest(aContent);
   if (!manifest) {
-    hooks_.rejected(manifest.error());
+    hooks_.objectRejected(manifest.error());
     return;
   }
-  const uint64_t inForce = routes_ == nullptr ? 0 : routes_->GetManifest().version;
-  if (routes_ != nullptr && manifest->version <= inForce) {
-    if (manifest->version < inForce)
-      hooks_.rejected(
-        { { "manifest",
-            fmt::format(
-              "version {} is older than version {} in force", manifest->version, inForce) } });
+  const uint64_t currentVersion = routes_ == nullptr ? 0 : routes_->GetManifest().version;
+  if (routes_ != nullptr && manifest->version <= currentVersion) {
+    if (manifest->version < currentVersion)
+      hooks_.objectRejected({ { "manifest",
+                                fmt::format("version {} is older than version {} in force",
+                                            manifest->version,
+                                            currentVersion) } });
     return;
   }
   routes_ =
@@ -154,7 +154,7 @@
   entry.content = *aChange.content;
   auto instance = decoders_.instance(aChange.name, entry.content, aNow);
   if (!instance) {
-    hooks_.rejected(instance.error());
+    hooks_.objectRejected(instance.error());
     entry.instance.reset();
     return;
   }
@@ -169,11 +169,11 @@
   if (found == instances_.end())
     return;
   Entry& entry = found->second;
-  const bool steadyElsewhere =
-    steadyElsewhereAt_ && aNow - *steadyElsewhereAt_ < kSteadyElsewhereLife;
-  if (!IsStoreSteady(aNow) && !steadyElsewhere && entry.instance && !entry.instance->draining) {
-    const TimePoint from = reachable_ ? *regainedAt_ : aNow;
-    entry.removeAt = from + kRegisterAgainTime;
+  const bool steadyAtPeer =
+    peerReportedSteadyAt_ && aNow - *peerReportedSteadyAt_ < kPeerReportLifetime;
+  if (!IsStoreSteady(aNow) && !steadyAtPeer && entry.instance && !entry.instance->draining) {
+    const TimePoint from = storeReachable_ ? *storeRegainedAt_ : aNow;
+    entry.removeAt = from + kReregistrationTime;
     hooks_.instanceChanged(*entry.instance, "lapsed");
     return;
   }
@@ -185,33 +185,33 @@
 bool
 FleetKeeper::IsStoreSteady(TimePoint aNow) const
 {
-  return reachable_ && (!regainedAt_ || aNow - *regainedAt_ >= kRegisterAgainTime);
+  return storeReachable_ && (!storeRegainedAt_ || aNow - *storeRegainedAt_ >= kReregistrationTime);
 }
 
 void
-FleetKeeper::OnStoreElsewhere(TimePoint aNow, bool aSteady)
+FleetKeeper::OnPeerStoreStatus(TimePoint aNow, bool aSteady)
 {
   if (aSteady)
-    steadyElsewhereAt_ = aNow;
+    peerReportedSteadyAt_ = aNow;
 }
 
 void
 FleetKeeper::OnStoreReachable(TimePoint aNow, bool aReachable)
 {
-  if (aReachable && !reachable_) {
-    regainedAt_ = aNow;
+  if (aReachable && !storeReachable_) {
+    storeRegainedAt_ = aNow;
     for (auto& [name, entry] : instances_) {
       if (entry.removeAt)
-        entry.removeAt = aNow + kRegisterAgainTime;
+        entry.removeAt = aNow + kReregistrationTime;
     }
   }
-  reachable_ = aReachable;
+  storeReachable_ = aReachable;
 }
 
 bool
 FleetKeeper::OnTick(TimePoint aNow)
 {
-  if (!reachable_)
+  if (!storeReachable_)
     return false;
   const size_t before = instances_.size();
   for (auto entry = instances_.begin(); entry != instances_.end();) {
@@ -227,7 +227,7 @@
 }
 
 FleetView
-FleetKeeper::View() const
+FleetKeeper::BuildView() const
 {
   FleetView view;
   view.routes = routes_;
@@ -235,10 +235,10 @@
     if (entry.instance)
       view.instances.push_back(*entry.instance);
   }
-  for (const auto& [name, content] : Set(ObjectKind::Evacuations).objects)
+  for (const auto& [name, content] : Snapshot(ObjectKind::Evacuations).objects)
     view.evacuated.insert(FailureDomainId(name));
-  view.instancesRevision = Set(ObjectKind::Instances).revision;
-  view.evacuationsRevision = Set(ObjectKind::Evacuations).revision;
+  view.instancesRevision = Snapshot(ObjectKind::Instances).revision;
+  view.evacuationsRevision = Snapshot(ObjectKind::Evacuations).revision;
   return view;
 }
 
--- a/lib/Steering/InstanceChoice.cpp
+++ b/lib/Steering/InstanceChoice.cpp
@@ -12,32 +12,33 @@
 /// before it takes a free slot anywhere in the region. A cold object costs three times the work.
 constexpr double kWarmWaitShare = 0.3;
 
-/// Objects are divided between at least this many instances: an instance keeps somewhat more than
-/// half of the objects of a region warm.
-constexpr size_t kObjectParts = 2;
+/// Least number of instances between which objects are divided: one instance can keep somewhat more
+/// than half of the objects of a region warm.
+constexpr size_t kMinInstancesPerHome = 2;
 
 /// In a region that is short of slots an object with one home is served there, or at as many
 /// instances in all.
-constexpr size_t kCrowdedChoices = 2;
+constexpr size_t kShortOfSlotsChoices = 2;
 
 /// Instances of a region that keep one object warm when they are not chosen for each failure
 /// domain.
-constexpr size_t kMostHomes = 2;
+constexpr size_t kMaxHomes = 2;
 
-/// How long the order of the instances for a waiting request holds. Their health is checked again
-/// at each choice; ranking them at each change of a load costs a small VM its whole processor.
-constexpr Duration kRankingLife = 100ms;
+/// How long a ranking of the instances for a waiting request is reused. Their health is checked
+/// again at each choice; ranking them at each change of a load takes the whole processor of a small
+/// VM.
+constexpr Duration kRankingLifetime = 100ms;
 
 /// Least part of a cold instance's rate, in requests a second, that one VM takes. In a region with
 /// more VMs only some send to the instance.
-constexpr double kLeastColdPart = 2;
+constexpr double kMinColdRatePerVm = 2;
 
 /// Part of a cold instance's rate that all VMs together use; the rest covers VMs that start or stop
 /// while the shares change.
-constexpr double kColdUse = 0.8;
+constexpr double kColdRateShare = 0.8;
 
 uint64_t
-Mix(uint64_t aKey, uint64_t aHash)
+MixHash(uint64_t aKey, uint64_t aHash)
 {
   // Finalizer of SplitMix64: a full avalanche at the cost of two multiplications.
   uint64_t value = aKey ^ aHash;
@@ -48,10 +49,10 @@
 
 /// Position of a key in [0, 1).
 double
-PositionOf(uint64_t aKey)
+KeyPosition(uint64_t aKey)
 {
   constexpr double kRange = 18446744073709551616.0; // 2^64
-  return static_cast<double>(Mix(aKey, 0)) / kRange;
+  return static_cast<double>(MixHash(aKey, 0)) / kRange;
 }
 
 } // namespace
@@ -67,60 +68,61 @@
     return 0;
   // VMs of the instance's region divide its rate; a VM elsewhere sends to it only when it has no
   // other choice, and takes the part that it would have if all VMs did.
-  const double rate = kColdUse * service->second.coldRequestsPerSecond;
+  const double rate = kColdRateShare * service->second.coldRequestsPerSecond;
   const bool own = options_.region == aInstance.region;
   const uint64_t ownWeight = RendezvousWeight(aInstance.id.Value(), options_.self.Value());
-  size_t sharers = 0;
-  size_t heavier = 0;
+  size_t sharingVms = 0;
+  size_t higherWeightVms = 0;
   for (const Vm& vm : view_->knownVms) {
     if (own && vm.region != aInstance.region)
       continue;
-    ++sharers;
-    heavier += RendezvousWeight(aInstance.id.Value(), vm.id.Value()) > ownWeight ? 1 : 0;
+    ++sharingVms;
+    higherWeightVms += RendezvousWeight(aInstance.id.Value(), vm.id.Value()) > ownWeight ? 1 : 0;
   }
-  // Each sharer may save up one request, so that many of them with a small part would pass the rate
-  // together.
-  const auto most = static_cast<size_t>(std::max(1.0, rate / kLeastColdPart));
-  sharers = std::clamp<size_t>(sharers, 1, most);
-  return heavier < sharers ? rate / static_cast<double>(sharers) : 0;
+  // Each VM may accumulate a token for one request, so many VMs with a small part each would
+  // together exceed the rate.
+  const auto maxSharingVms = static_cast<size_t>(std::max(1.0, rate / kMinColdRatePerVm));
+  sharingVms = std::clamp<size_t>(sharingVms, 1, maxSharingVms);
+  return higherWeightVms < sharingVms ? rate / static_cast<double>(sharingVms) : 0;
 }
 
 bool
-Dispatcher::HasUsable(TimePoint aNow, const RegionCandidates& aCandidates)
+Dispatcher::HasUsableInstance(TimePoint aNow, const RegionCandidates& aCandidates)
 {
   return std::any_of(
     aCandidates.list.begin(), aCandidates.list.end(), [&](const Candidate& aCandidate) {
-      const Unusable why = aCandidate.state->WhyUnusable(aNow);
-      return why == Unusable::No || why == Unusable::Cold;
+      const Unusable why = aCandidate.tracker->UnusableReasonAt(aNow);
+      return why == Unusable::None || why == Unusable::Cold;
     });
 }
 
 std::vector<Dispatcher::Ranked>
-Dispatcher::Rank(TimePoint aNow,
-                 const Request& aRequest,
-                 const ServiceState& aState,
-                 const RegionId& aRegion) const
+Dispatcher::RankInstances(TimePoint aNow,
+                          const Request& aRequest,
+                          const ServiceState& aState,
+                          const RegionId& aRegion) const
 {
   const RegionCandidates& candidates = aState.regions.at(aRegion);
   const auto spread = aState.spreads.find(aRegion);
   const bool onePerRegion =
-    spread == aState.spreads.end() || PositionOf(aRequest.key) >= spread->second.share;
-  const bool crowded =
-    spread != aState.spreads.end() && spread->second.use > RegionSpread::kCrowded;
+    spread == aState.spreads.end() || KeyPosition(aRequest.key) >= spread->second.share;
+  const bool shortOfSlots =
+    spread != aState.spreads.end() && spread->second.use > RegionSpread::kShortOfSlots;
   std::vector<Ranked> ranked;
   ranked.reserve(candidates.list.size());
   for (const Candidate& candidate : candidates.list) {
-    InstanceTracker* const state = candidate.state;
-    if (state->WhyUnusable(aNow) != Unusable::No)
+    InstanceTracker* const state = candidate.tracker;
+    if (state->UnusableReasonAt(aNow) != Unusable::None)
       continue;
     if (std::find(aRequest.tried.begin(), aRequest.tried.end(), state->Spec().id) !=
         aRequest.tried.end())
       continue;
-    ranked.push_back({ .instance = state,
-                       .weight = Mix(aRequest.key, candidate.hash),
-                       .domain = candidate.domain,
-                       .degraded = state->IsDegraded(aNow, aState.typicalLatency),
-                       .far = candidates.domains[candidate.domain] != options_.failureDomain });
+    ranked.push_back(
+      { .instance = state,
+        .weight = MixHash(aRequest.key, candidate.hash),
+        .domain = candidate.domain,
+        .degraded = state->IsDegraded(aNow, aState.typicalLatency),
+        .inOtherDomain = candidates.domains[candidate.domain] != options_.failureDomain });
   }
   std::sort(ranked.begin(), ranked.end(), [](const Ranked& aLeft, const Ranked& aRight) {
     return aLeft.weight > aRight.weight;
@@ -131,34 +133,34 @@
       return aRight.degraded;
     if (aLeft.home != aRight.home)
       return aLeft.home;
-    return aLeft.home && !aLeft.far && aRight.far;
+    return aLeft.home && !aLeft.inOtherDomain && aRight.inOtherDomain;
   });
-  // A cold request takes several times the slots, and its object pushes out others.
-  if (aRequest.sticky && onePerRegion && crowded && ranked.size() > kCrowdedChoices)
-    ranked.resize(kCrowdedChoices);
+  // A cold request takes several times the slots, and its object evicts others.
+  if (aRequest.sticky && onePerRegion && shortOfSlots && ranked.size() > kShortOfSlotsChoices)
+    ranked.resize(kShortOfSlotsChoices);
   return ranked;
 }
 
 InstanceTracker*
-Dispatcher::ChooseIn(TimePoint aNow,
-                     Request& aRequest,
-                     const ServiceState& aState,
-                     const RegionId& aRegion) const
+Dispatcher::ChooseInstanceInRegion(TimePoint aNow,
+                                   Request& aRequest,
+                                   const ServiceState& aState,
+                                   const RegionId& aRegion) const
 {
   if (!aState.regions.contains(aRegion))
     return nullptr;
   Ranking& ranking = aRequest.rankings[aRegion];
-  if (ranking.order.empty() || aNow - ranking.at >= kRankingLife)
-    ranking = { .at = aNow, .order = Rank(aNow, aRequest, aState, aRegion) };
+  if (ranking.order.empty() || aNow - ranking.rankedAt >= kRankingLifetime)
+    ranking = { .rankedAt = aNow, .order = RankInstances(aNow, aRequest, aState, aRegion) };
   const bool homesOnly = aRequest.sticky && aNow - aRequest.spec.arrived <
                                               Scale(aRequest.spec.route->goal, kWarmWaitShare);
   for (const Ranked& candidate : ranking.order) {
     if (homesOnly && !candidate.home)
       continue;
     const InstanceTracker& instance = *candidate.instance;
-    if (instance.FreeSlots(aNow) <= 0 || instance.WhyUnusable(aNow) != Unusable::No)
+    if (instance.FreeSlots(aNow) <= 0 || instance.UnusableReasonAt(aNow) != Unusable::None)
       continue;
-    // It turned bad, or got its trial, since the ranking.
+    // The instance became degraded, or got its trial request, after the ranking.
     if (!candidate.degraded && instance.IsDegraded(aNow, aState.typicalLatency))
       continue;
     return candidate.instance;
@@ -179,7 +181,7 @@
   for (const Ranked& candidate : aRanked)
     ++perDomain[candidate.domain];
   const bool inEachDomain = std::all_of(perDomain.begin(), perDomain.end(), [](size_t aCount) {
-    return aCount == 0 || aCount >= kObjectParts;
+    return aCount == 0 || aCount >= kMinInstancesPerHome;
   });
   if (inEachDomain) {
     std::vector<bool> marked(aDomains);
@@ -189,42 +191,43 @@
     }
     return;
   }
-  const size_t homes = std::clamp<size_t>(aRanked.size() / kObjectParts, 1, kMostHomes);
+  const size_t homes = std::clamp<size_t>(aRanked.size() / kMinInstancesPerHome, 1, kMaxHomes);
   for (size_t i = 0; i < std::min(homes, aRanked.size()); ++i)
     aRanked[i].home = true;
 }
 
 InstanceTracker*
-Dispatcher::Choose(TimePoint aNow, Request& aRequest, const ServiceState& aState) const
+Dispatcher::ChooseInstance(TimePoint aNow, Request& aRequest, const ServiceState& aState) const
 {
   const Route& route = *aRequest.spec.route;
   const bool ownAllowed = MayServeIn(route, options_.region);
-  const auto spillTo = aState.spill.RegionFor(aRequest.key);
+  const auto spillTo = aState.spill.SpillRegionFor(aRequest.key);
   if (ownAllowed && spillTo && MayServeIn(route, *spillTo) &&
       shifts_.MayStart(aNow, *spillTo, aState.spill.ShareOf(*spillTo))) {
-    // While the other region is full the request waits: in the own one its object is cold, and
-    // would push out others.
+    // While the other region is full the request waits: in this VM's region its object is cold and
+    // would evict others.
     const auto remote = aState.regions.find(*spillTo);
-    if (remote != aState.regions.end() && HasUsable(aNow, remote->second))
-      return ChooseIn(aNow, aRequest, aState, *spillTo);
+    if (remote != aState.regions.end() && HasUsableInstance(aNow, remote->second))
+      return ChooseInstanceInRegion(aNow, aRequest, aState, *spillTo);
   }
   const auto own = aState.regions.find(options_.region);
-  if (ownAllowed && own != aState.regions.end() && HasUsable(aNow, own->second))
-    return ChooseIn(aNow, aRequest, aState, options_.region);
+  if (ownAllowed && own != aState.regions.end() && HasUsableInstance(aNow, own->second))
+    return ChooseInstanceInRegion(aNow, aRequest, aState, options_.region);
 
   // The own region cannot serve the request at all. The region is chosen by key, so that objects
   // stay warm.
   std::vector<RegionId> others;
   for (const auto& [region, candidates] : aState.regions) {
-    if (region != options_.region && MayServeIn(route, region) && HasUsable(aNow, candidates))
+    if (region != options_.region && MayServeIn(route, region) &&
+        HasUsableInstance(aNow, candidates))
       others.push_back(region);
   }
   if (others.empty())
     return nullptr;
-  const size_t start = Mix(aRequest.key, 0) % others.size();
+  const size_t start = MixHash(aRequest.key, 0) % others.size();
   for (size_t i = 0; i < others.size(); ++i) {
     const RegionId& region = others[(start + i) % others.size()];
-    if (InstanceTracker* const remote = ChooseIn(aNow, aRequest, aState, region))
+    if (InstanceTracker* const remote = ChooseInstanceInRegion(aNow, aRequest, aState, region))
       return remote;
   }
   return nullptr;
--- a/lib/Steering/InstanceTracker.cpp
+++ b/lib/Steering/InstanceTracker.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Weight of the latest answer in the moving means of failures and latency; about ten answers
-/// decide.
+/// Weight of the latest answer in the moving means of failures and latency, which thus cover about
+/// ten answers.
 constexpr double kMeanWeight = 0.1;
 
-/// Answers before the means say anything about an instance.
+/// Answers needed before the moving means are used to judge an instance.
 constexpr unsigned kMinAnswers = 8;
 
 /// Share of failed answers above which other instances are preferred. Applications fail one request
@@ -33,12 +33,12 @@
 
 /// How long an instance counts as full after it shed a request; about the time in which one of its
 /// slots becomes free.
-constexpr Duration kShedPause = 40ms;
+constexpr Duration kFullAfterShed = 40ms;
 
 /// Wait before the first health check of an instance that is down, and the longest wait; each
 /// failed check doubles it. Checks are priced, so they slow down.
 constexpr Duration kFirstProbeWait = 100ms;
-constexpr Duration kLongestProbeWait = 800ms;
+constexpr Duration kMaxProbeWait = 800ms;
 
 /// The bucket of the cold rate holds what a tenth of a second earns, so that the VMs' bursts
 /// together stay well within the excess that the platform tolerates.
@@ -50,7 +50,7 @@
 ToString(Unusable aReason)
 {
   switch (aReason) {
-    case Unusable::No:
+    case Unusable::None:
       return "usable";
     case Unusable::Draining:
       return "draining";
@@ -68,14 +68,14 @@
 
 InstanceTracker::InstanceTracker(Instance aInstance)
   : spec_(std::move(aInstance))
-  , cold_(kColdBucket)
+  , coldBucket_(kColdBucket)
 {
 }
 
 void
 InstanceTracker::SetSpec(Instance aInstance)
 {
-  if (aInstance.bornMs != spec_.bornMs || aInstance.endpoint != spec_.endpoint) {
+  if (aInstance.startTimeMs != spec_.startTimeMs || aInstance.endpoint != spec_.endpoint) {
     // Requests of the earlier run end through their own connections.
     const unsigned inFlight = inFlight_;
     const unsigned peerInFlight = peerInFlight_;
@@ -96,13 +96,13 @@
 void
 InstanceTracker::OnTick(TimePoint aNow)
 {
-  if (coldFilledAt_)
-    cold_.Fill(coldRate_, aNow - *coldFilledAt_);
-  coldFilledAt_ = aNow;
+  if (lastColdRefill_)
+    coldBucket_.Fill(coldRate_, aNow - *lastColdRefill_);
+  lastColdRefill_ = aNow;
 }
 
 Unusable
-InstanceTracker::WhyUnusable(TimePoint aNow) const
+InstanceTracker::UnusableReasonAt(TimePoint aNow) const
 {
   if (spec_.draining)
     return Unusable::Draining;
@@ -110,9 +110,9 @@
     return Unusable::Evacuated;
   if (down_)
     return Unusable::Down;
-  if (IsCold(aNow) && cold_.Tokens() < 1)
+  if (IsCold(aNow) && coldBucket_.Tokens() < 1)
     return Unusable::Cold;
-  return Unusable::No;
+  return Unusable::None;
 }
 
 int
@@ -120,27 +120,27 @@
 {
   if (aNow < shedUntil_)
     return 0;
-  return static_cast<int>(spec_.slots) - static_cast<int>(Busy());
+  return static_cast<int>(spec_.slots) - static_cast<int>(KnownInFlight());
 }
 
 bool
-InstanceTracker::IsDegraded(TimePoint aNow, Duration aTypical) const
+InstanceTracker::IsDegraded(TimePoint aNow, Duration aTypicalLatency) const
 {
-  if (answers_ < kMinAnswers || aNow >= nextTrial_)
+  if (answerCount_ < kMinAnswers || aNow >= nextTrialTime_)
     return false;
   return failureShare_ > kDegradedFailureShare ||
-         ToSeconds(meanLatency_) > kDegradedLatencyFactor * ToSeconds(aTypical);
+         ToSeconds(meanLatency_) > kDegradedLatencyFactor * ToSeconds(aTypicalLatency);
 }
 
 void
 InstanceTracker::OnSend(TimePoint aNow)
 {
-  if (IsCold(aNow) && cold_.Tokens() >= 1)
-    cold_.Take(1);
+  if (IsCold(aNow) && coldBucket_.Tokens() >= 1)
+    coldBucket_.Take(1);
   if (inFlight_ == 0)
-    lastHeard_ = aNow;
+    lastResponseTime_ = aNow;
   ++inFlight_;
-  nextTrial_ = aNow + kTrialPeriod;
+  nextTrialTime_ = aNow + kTrialPeriod;
 }
 
 void
@@ -153,21 +153,21 @@
 void
 InstanceTracker::OnSuccess(TimePoint aNow, Duration aLatency)
 {
-  lastHeard_ = aNow;
+  lastResponseTime_ = aNow;
   failureShare_ *= 1 - kMeanWeight;
-  const double weight = answers_ == 0 ? 1 : kMeanWeight;
+  const double weight = answerCount_ == 0 ? 1 : kMeanWeight;
   meanLatency_ += Scale(aLatency - meanLatency_, weight);
-  answers_ = std::min(answers_ + 1, kMinAnswers);
+  answerCount_ = std::min(answerCount_ + 1, kMinAnswers);
 }
 
 void
 InstanceTracker::OnFailure(TimePoint aNow, bool aShed)
 {
-  lastHeard_ = aNow;
+  lastResponseTime_ = aNow;
   failureShare_ += kMeanWeight * (1 - failureShare_);
-  answers_ = std::min(answers_ + 1, kMinAnswers);
+  answerCount_ = std::min(answerCount_ + 1, kMinAnswers);
   if (aShed)
-    shedUntil_ = aNow + kShedPause;
+    shedUntil_ = aNow + kFullAfterShed;
 }
 
 void
@@ -177,20 +177,20 @@
     return;
   down_ = true;
   failedProbes_ = 0;
-  probeAt_ = aNow + kFirstProbeWait;
+  nextProbeTime_ = aNow + kFirstProbeWait;
 }
 
 void
 InstanceTracker::OnProbe(TimePoint aNow, ProbeResult aResult, Duration aColdLeft)
 {
-  lastHeard_ = aNow;
+  lastResponseTime_ = aNow;
   spec_.coldUntil = std::max(spec_.coldUntil, aNow + aColdLeft);
   if (aResult == ProbeResult::Healthy || aResult == ProbeResult::Unanswered) {
     down_ = false;
     return;
   }
   const unsigned doublings = std::min(++failedProbes_, 8U);
-  probeAt_ = aNow + std::min(kFirstProbeWait * (1 << doublings), kLongestProbeWait);
+  nextProbeTime_ = aNow + std::min(kFirstProbeWait * (1 << doublings), kMaxProbeWait);
 }
 
 std::vector<uint64_t>
@@ -198,7 +198,7 @@
 {
   std::vector<uint64_t> fingerprints;
   for (const CrashSuspect& suspect : crashSuspects_) {
-    if (aNow - suspect.at < kCrashConfirmTime)
+    if (aNow - suspect.brokenAt < kCrashConfirmTime)
       fingerprints.push_back(suspect.fingerprint);
   }
   crashSuspects_.clear();
@@ -210,20 +210,20 @@
 {
   if (crashSuspects_.size() == kMaxCrashSuspects)
     crashSuspects_.erase(crashSuspects_.begin());
-  crashSuspects_.push_back({ .at = aNow, .fingerprint = aFingerprint });
+  crashSuspects_.push_back({ .brokenAt = aNow, .fingerprint = aFingerprint });
 }
 
 std::optional<TimePoint>
-InstanceTracker::ProbeDueAt() const
+InstanceTracker::NextProbeTime() const
 {
-  return down_ ? std::optional(probeAt_) : std::nullopt;
+  return down_ ? std::optional(nextProbeTime_) : std::nullopt;
 }
 
 void
 InstanceTracker::OnProbeSent(TimePoint aNow)
 {
-  // A lost answer must not end the checks.
-  probeAt_ = aNow + 2 * kLongestProbeWait;
+  // Schedules a further check in case the answer to this one is lost.
+  nextProbeTime_ = aNow + 2 * kMaxProbeWait;
 }
 
 } // namespace dfm
--- a/lib/Steering/Manifest.cpp
+++ b/lib/Steering/Manifest.cpp
@@ -23,8 +23,8 @@
   : manifest_(std::move(aManifest))
 {
   for (const Route& route : manifest_->routes)
-    byHost_[NormalizeHost(route.host)].push_back(&route);
-  for (auto& [host, routes] : byHost_) {
+    routesByHost_[NormalizeHost(route.host)].push_back(&route);
+  for (auto& [host, routes] : routesByHost_) {
     std::stable_sort(routes.begin(), routes.end(), [](const Route* aLeft, const Route* aRight) {
       return aLeft->pathPrefix.size() > aRight->pathPrefix.size();
     });
@@ -32,16 +32,16 @@
 }
 
 const std::vector<const Route*>*
-RouteIndex::RoutesOf(std::string_view aHost) const
+RouteIndex::FindHostRoutes(std::string_view aHost) const
 {
-  const auto found = byHost_.find(NormalizeHost(aHost));
-  return found == byHost_.end() ? nullptr : &found->second;
+  const auto found = routesByHost_.find(NormalizeHost(aHost));
+  return found == routesByHost_.end() ? nullptr : &found->second;
 }
 
 const Route*
 RouteIndex::Find(std::string_view aHost, std::string_view aPath) const
 {
-  const auto* routes = RoutesOf(aHost);
+  const auto* routes = FindHostRoutes(aHost);
   if (routes == nullptr)
     return nullptr;
   for (const Route* route : *routes) {
@@ -52,9 +52,9 @@
 }
 
 bool
-RouteIndex::HostMayUse(std::string_view aHost, const RegionId& aRegion) const
+RouteIndex::MayServeHostIn(std::string_view aHost, const RegionId& aRegion) const
 {
-  const auto* routes = RoutesOf(aHost);
+  const auto* routes = FindHostRoutes(aHost);
   if (routes == nullptr)
     return false;
   return std::all_of(routes->begin(), routes->end(), [&aRegion](const Route* aRoute) {
--- a/lib/Steering/PeerLoads.cpp
+++ b/lib/Steering/PeerLoads.cpp
@@ -3,7 +3,7 @@
 namespace dfm {
 
 void
-PeerLoads::Subtract(const Report& aReport, std::vector<uint32_t>& aChanged)
+PeerLoads::SubtractReport(const Report& aReport, std::vector<uint32_t>& aChanged)
 {
   for (const InstanceLoad& load : aReport.loads) {
     const auto sum = sums_.find(load.instance);
@@ -19,8 +19,8 @@
 {
   std::vector<uint32_t> changed;
   Report& report = reports_[aVm];
-  Subtract(report, changed);
-  report = { .until = aNow + aLoad.life };
+  SubtractReport(report, changed);
+  report = { .expiresAt = aNow + aLoad.life };
   for (const InstanceLoad& load : aLoad.loads) {
     if (load.inFlight == 0)
       continue;
@@ -36,18 +36,18 @@
 {
   std::vector<uint32_t> changed;
   for (auto report = reports_.begin(); report != reports_.end();) {
-    if (aNow < report->second.until) {
+    if (aNow < report->second.expiresAt) {
       ++report;
       continue;
     }
-    Subtract(report->second, changed);
+    SubtractReport(report->second, changed);
     report = reports_.erase(report);
   }
   return changed;
 }
 
 unsigned
-PeerLoads::At(uint32_t aInstance) const
+PeerLoads::InFlightAt(uint32_t aInstance) const
 {
   const auto sum = sums_.find(aInstance);
   return sum == sums_.end() ? 0 : sum->second;
--- a/lib/Steering/PeerMessages.cpp
+++ b/lib/Steering/PeerMessages.cpp
@@ -13,8 +13,8 @@
 using flatbuffers::Offset;
 
 /// Largest values that a load report can hold.
-constexpr uint16_t kMostInFlight = std::numeric_limits<uint8_t>::max();
-constexpr int64_t kLongestLifeMs = std::numeric_limits<uint16_t>::max();
+constexpr uint16_t kMaxInFlight = std::numeric_limits<uint8_t>::max();
+constexpr int64_t kMaxLifeMs = std::numeric_limits<uint16_t>::max();
 
 struct Body
 {
@@ -29,19 +29,17 @@
   std::vector<uint8_t> inFlight;
   for (const InstanceLoad& load : aLoad.loads) {
     instances.push_back(load.instance);
-    inFlight.push_back(static_cast<uint8_t>(std::min(load.inFlight, kMostInFlight)));
+    inFlight.push_back(static_cast<uint8_t>(std::min(load.inFlight, kMaxInFlight)));
   }
   const int64_t lifeMs = std::chrono::duration_cast<std::chrono::milliseconds>(aLoad.life).count();
   return { wire::SteeringBody::LoadReport,
-           wire::CreateLoadReportDirect(aBuilder,
-                                        &instances,
-                                        &inFlight,
-                                        static_cast<uint16_t>(std::min(lifeMs, kLongestLifeMs)))
+           wire::CreateLoadReportDirect(
+             aBuilder, &instances, &inFlight, static_cast<uint16_t>(std::min(lifeMs, kMaxLifeMs)))
              .Union() };
 }
 
 Body
-Encode(FlatBufferBuilder& aBuilder, const PeerCrash& aCrash)
+Encode(FlatBufferBuilder& aBuilder, const PeerCrashReport& aCrash)
 {
   return { wire::SteeringBody::CrashNotice,
            wire::CreateCrashNotice(aBuilder, aCrash.reportId, aCrash.fingerprint).Union() };
@@ -61,7 +59,7 @@
 {
   std::vector<Offset<wire::StateSet>> sets;
   sets.reserve(aReply.kinds.size());
-  for (const auto& [kind, set, whole, removed] : aReply.kinds) {
+  for (const auto& [kind, set, complete, removed] : aReply.kinds) {
     std::vector<Offset<wire::ObjectEntry>> entries;
     entries.reserve(set.objects.size());
     for (const auto& [name, content] : set.objects)
@@ -71,7 +69,7 @@
     for (const std::string& name : removed)
       names.push_back(aBuilder.CreateString(name));
     sets.push_back(wire::CreateStateSetDirect(
-      aBuilder, static_cast<uint8_t>(kind), set.revision, &entries, whole, &names));
+      aBuilder, static_cast<uint8_t>(kind), set.revision, &entries, complete, &names));
   }
   return {
     wire::SteeringBody::StateReply,
@@ -116,7 +114,7 @@
     if (set->kind() >= kObjectKindCount)
       return tl::unexpected(
         CodecError{ fmt::format("state reply: kind {} does not exist", set->kind()) });
-    StateReply::Kind kind{ .kind = static_cast<ObjectKind>(set->kind()), .whole = set->whole() };
+    StateReply::Kind kind{ .kind = static_cast<ObjectKind>(set->kind()), .complete = set->whole() };
     kind.set.revision = set->revision();
     if (set->objects() != nullptr) {
       for (const wire::ObjectEntry* entry : *set->objects())
@@ -138,8 +136,8 @@
     case wire::SteeringBody::LoadReport:
       return Decode(*aMessage.body_as_LoadReport());
     case wire::SteeringBody::CrashNotice:
-      return PeerCrash{ .reportId = aMessage.body_as_CrashNotice()->report_id(),
-                        .fingerprint = aMessage.body_as_CrashNotice()->fingerprint() };
+      return PeerCrashReport{ .reportId = aMessage.body_as_CrashNotice()->report_id(),
+                              .fingerprint = aMessage.body_as_CrashNotice()->fingerprint() };
     case wire::SteeringBody::StateRequest:
       return Decode(*aMessage.body_as_StateRequest());
     case wire::SteeringBody::StateReply:
--- a/lib/Steering/RegionBalance.cpp
+++ b/lib/Steering/RegionBalance.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// How often the use of the regions is judged anew.
+/// Interval at which the use of the regions is evaluated.
 constexpr Duration kBalancePeriod = 100ms;
 
-/// Use of a region's slots below which it is not short of them. Weight of the latest use in the
-/// mean: about a second decides.
-constexpr double kCrowdedUntil = 0.6;
+/// kAmpleSlots is the part of a region's slots in use below which it is not short of slots.
+/// kUseWeight is the weight of the latest use in the moving mean, which thus covers about a second.
+constexpr double kAmpleSlots = 0.6;
 constexpr double kUseWeight = 0.1;
 
 /// Objects for each instance from which on hashing loads the instances evenly, so that a region
@@ -20,8 +20,8 @@
 
 /// Part of the objects that get, or lose, a home in each failure domain in one second. Each new
 /// home serves its first request cold, which takes several times the slots.
-constexpr double kSpreadRate = 0.1;
-constexpr double kGatherRate = 0.1;
+constexpr double kHomeGainRate = 0.1;
+constexpr double kHomeLossRate = 0.1;
 
 } // namespace
 
@@ -31,17 +31,17 @@
   const double step = ToSeconds(kBalancePeriod);
   for (const RegionUse& use : aUses) {
     const auto region = aState.regions.find(use.region);
-    if (region == aState.regions.end() || !aState.begun)
+    if (region == aState.regions.end() || !aState.hadRequests)
       continue;
     RegionSpread& spread = aState.spreads[use.region];
     const double now = use.slots > 0 ? use.busy / use.slots : 1;
     spread.use += kUseWeight * (now - spread.use);
     const auto instances = static_cast<double>(region->second.list.size());
-    const bool even = aState.objects.Estimate() >= kObjectsPerInstance * instances;
-    if (spread.use > RegionSpread::kCrowded && even)
-      spread.share = std::max(0.0, spread.share - kGatherRate * step);
-    else if (spread.use > RegionSpread::kCrowded || spread.use < kCrowdedUntil)
-      spread.share = std::min(1.0, spread.share + kSpreadRate * step);
+    const bool evenlyLoaded = aState.objects.EstimatedCount() >= kObjectsPerInstance * instances;
+    if (spread.use > RegionSpread::kShortOfSlots && evenlyLoaded)
+      spread.share = std::max(0.0, spread.share - kHomeLossRate * step);
+    else if (spread.use > RegionSpread::kShortOfSlots || spread.use < kAmpleSlots)
+      spread.share = std::min(1.0, spread.share + kHomeGainRate * step);
   }
 }
 
@@ -60,23 +60,23 @@
       RegionUse& use = uses[region];
       use.region = region;
       for (const Candidate& candidate : candidates.list) {
-        if (candidate.state->WhyUnusable(aNow) != Unusable::No)
+        if (candidate.tracker->UnusableReasonAt(aNow) != Unusable::None)
           continue;
-        use.slots += candidate.state->Spec().slots;
-        use.busy += candidate.state->Busy();
+        use.slots += candidate.tracker->Spec().slots;
+        use.busy += candidate.tracker->KnownInFlight();
       }
     }
-    // Other VMs' waiting requests are not known; this VM's stand for them.
+    // The waiting requests of other VMs are unknown; they are estimated from this VM's queue.
     uses[options_.region].region = options_.region;
     uses[options_.region].busy += static_cast<double>(state.queue.size()) * std::max(ownVms, 1.0);
     std::vector<RegionUse> list;
     list.reserve(uses.size());
     for (const auto& [region, use] : uses)
       list.push_back(use);
-    if (state.begun)
-      state.spill.Update(aNow, list);
+    if (state.hadRequests)
+      state.spill.UpdateShares(aNow, list);
     else
-      state.spill.Prepare(list);
+      state.spill.SetInitialShares(list);
     UpdateSpreads(state, list);
   }
 }
--- a/lib/Steering/ShiftLimit.cpp
+++ b/lib/Steering/ShiftLimit.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The platform compares windows of this length.
+/// Length of the consecutive windows that the platform compares.
 constexpr Duration kWindow = 2s;
 
 /// Starts are counted in slices of this length: short enough against the window that the error at
@@ -19,31 +19,35 @@
 } // namespace
 
 ShiftLimit::Window
-ShiftLimit::Sum(TimePoint aFrom, TimePoint aUntil, const RegionId& aRegion) const
+ShiftLimit::SumSlices(TimePoint aFrom, TimePoint aUntil, const RegionId& aRegion) const
 {
   Window window;
   for (const Slice& slice : slices_) {
     if (slice.start < aFrom || slice.start >= aUntil)
       continue;
-    window.all += slice.all;
-    const auto away = slice.away.find(aRegion);
-    window.away += away == slice.away.end() ? 0 : away->second;
+    window.total += slice.total;
+    const auto inRegion = slice.startsByRegion.find(aRegion);
+    window.inRegion += inRegion == slice.startsByRegion.end() ? 0 : inRegion->second;
   }
   return window;
 }
 
 bool
-ShiftLimit::MayStart(TimePoint aNow, const RegionId& aRegion, double aFirstShare) const
+ShiftLimit::MayStart(TimePoint aNow, const RegionId& aRegion, double aInitialShare) const
 {
-  const Window before = Sum(aNow - 2 * kWindow, aNow - kWindow, aRegion);
-  // What runs at first is what later windows are compared with.
-  const double most = before.all == 0 ? std::max(aFirstShare, maxChange_)
-                                      : static_cast<double>(before.away) / before.all + maxChange_;
-  // A burst at the end of a window would be the larger part of a later one.
+  const Window previous = SumSlices(aNow - 2 * kWindow, aNow - kWindow, aRegion);
+  // Without a previous window the initial share applies; later windows are compared with the
+  // result.
+  const double maxShare = previous.total == 0
+                            ? std::max(aInitialShare, maxChange_)
+                            : static_cast<double>(previous.inRegion) / previous.total + maxChange_;
+  // Checks the latter half of the window as well: a burst there would be a larger share of a later
+  // window.
   for (const Duration length : { kWindow, kWindow / 2 }) {
-    const Window now = Sum(aNow - length, aNow + kSlice, aRegion);
-    const double burst = length == kWindow || before.all == 0 ? 0 : (kBurstFactor - 1) * maxChange_;
-    if (now.away + 1 > (most + burst) * (now.all + 1))
+    const Window current = SumSlices(aNow - length, aNow + kSlice, aRegion);
+    const double burstAllowance =
+      length == kWindow || previous.total == 0 ? 0 : (kBurstFactor - 1) * maxChange_;
+    if (current.inRegion + 1 > (maxShare + burstAllowance) * (current.total + 1))
       return false;
   }
   return true;
@@ -57,9 +61,9 @@
   if (slices_.empty() || aNow - slices_.back().start >= kSlice)
     slices_.push_back({ .start = aNow });
   Slice& slice = slices_.back();
-  ++slice.all;
+  ++slice.total;
   if (aRegion != self_)
-    ++slice.away[aRegion];
+    ++slice.startsByRegion[aRegion];
 }
 
 } // namespace dfm
--- a/lib/Steering/SpillControl.cpp
+++ b/lib/Steering/SpillControl.cpp
@@ -9,17 +9,17 @@
 namespace {
 
 /// After a longer gap between two updates the shares change as if this much time had passed.
-constexpr double kLongestStepSeconds = 0.5;
+constexpr double kMaxStepSeconds = 0.5;
 
 double
-UseOf(const RegionUse& aUse)
+Utilization(const RegionUse& aUse)
 {
   return aUse.slots > 0 ? aUse.busy / aUse.slots : std::numeric_limits<double>::infinity();
 }
 
-/// Position of a key in [0, 1) for one region; independent between regions.
+/// Maps a key to [0, 1) for one region; independent between regions.
 double
-Position(uint64_t aKey, const RegionId& aRegion)
+KeyPosition(uint64_t aKey, const RegionId& aRegion)
 {
   constexpr double kRange = 18446744073709551616.0; // 2^64
   return static_cast<double>(HashBytes(aRegion.Value(), aKey)) / kRange;
@@ -28,7 +28,7 @@
 } // namespace
 
 void
-SpillControl::Prepare(const std::vector<RegionUse>& aUses)
+SpillControl::SetInitialShares(const std::vector<RegionUse>& aUses)
 {
   shares_.clear();
   double slots = 0;
@@ -42,70 +42,70 @@
   if (ownSlots == 0)
     return;
   const double demand = options_.expectedUse * slots / regions;
-  const auto roomOf = [&](const RegionUse& aUse) {
+  const auto spareSlotsOf = [&](const RegionUse& aUse) {
     return aUse.region == self_ ? 0 : std::max(0.0, options_.takeBelow * aUse.slots - demand);
   };
-  double room = 0;
+  double spareSlots = 0;
   for (const RegionUse& use : aUses)
-    room += roomOf(use);
-  const double excess = std::min(demand - options_.moveAbove * ownSlots, room);
+    spareSlots += spareSlotsOf(use);
+  const double excess = std::min(demand - options_.moveAbove * ownSlots, spareSlots);
   if (excess <= 0)
     return;
   const double share = std::min(excess / demand, options_.maxShare);
   for (const RegionUse& use : aUses) {
-    if (roomOf(use) > 0)
-      shares_[use.region] = share * roomOf(use) / room;
+    if (spareSlotsOf(use) > 0)
+      shares_[use.region] = share * spareSlotsOf(use) / spareSlots;
   }
 }
 
 void
-SpillControl::Update(TimePoint aNow, const std::vector<RegionUse>& aUses)
+SpillControl::UpdateShares(TimePoint aNow, const std::vector<RegionUse>& aUses)
 {
   const double step =
-    lastUpdate_ ? std::clamp(ToSeconds(aNow - *lastUpdate_), 0.0, kLongestStepSeconds) : 0;
+    lastUpdate_ ? std::clamp(ToSeconds(aNow - *lastUpdate_), 0.0, kMaxStepSeconds) : 0;
   lastUpdate_ = aNow;
   const double change = options_.ratePerSecond * step;
 
   double ownUse = std::numeric_limits<double>::infinity();
-  const RegionUse* emptiest = nullptr;
-  RegionId fullest;
-  double fullestUse = -1;
+  const RegionUse* leastUsed = nullptr;
+  RegionId mostUsed;
+  double mostUsedUse = -1;
   for (const RegionUse& use : aUses) {
     if (use.region == self_) {
-      ownUse = UseOf(use);
+      ownUse = Utilization(use);
       continue;
     }
-    if (emptiest == nullptr || UseOf(use) < UseOf(*emptiest))
-      emptiest = &use;
+    if (leastUsed == nullptr || Utilization(use) < Utilization(*leastUsed))
+      leastUsed = &use;
     const auto share = shares_.find(use.region);
-    if (share != shares_.end() && share->second > 0 && UseOf(use) > fullestUse) {
-      fullest = use.region;
-      fullestUse = UseOf(use);
+    if (share != shares_.end() && share->second > 0 && Utilization(use) > mostUsedUse) {
+      mostUsed = use.region;
+      mostUsedUse = Utilization(use);
     }
   }
 
-  if (fullestUse > options_.giveBackAbove || (fullestUse >= 0 && ownUse < options_.returnBelow)) {
-    double& share = shares_[fullest];
+  if (mostUsedUse > options_.giveBackAbove || (mostUsedUse >= 0 && ownUse < options_.returnBelow)) {
+    double& share = shares_[mostUsed];
     share = std::max(0.0, share - change);
     return;
   }
-  if (ownUse > options_.moveAbove && emptiest != nullptr && UseOf(*emptiest) < options_.takeBelow &&
-      Share() < options_.maxShare)
-    shares_[emptiest->region] += change;
+  if (ownUse > options_.moveAbove && leastUsed != nullptr &&
+      Utilization(*leastUsed) < options_.takeBelow && TotalShare() < options_.maxShare)
+    shares_[leastUsed->region] += change;
 }
 
 std::optional<RegionId>
-SpillControl::RegionFor(uint64_t aKey) const
+SpillControl::SpillRegionFor(uint64_t aKey) const
 {
   for (const auto& [region, share] : shares_) {
-    if (share > 0 && Position(aKey, region) < share)
+    if (share > 0 && KeyPosition(aKey, region) < share)
       return region;
   }
   return std::nullopt;
 }
 
 double
-SpillControl::Share() const
+SpillControl::TotalShare() const
 {
   double total = 0;
   for (const auto& [region, share] : shares_)
--- a/lib/Steering/SplitChooser.cpp
+++ b/lib/Steering/SplitChooser.cpp
@@ -12,7 +12,7 @@
   if (aRoute.parts.size() == 1)
     return aRoute.parts.front().service;
 
-  Credits& credits = byRoute_[aRoute.name];
+  Credits& credits = creditsByRoute_[aRoute.name];
   if (credits.parts != aRoute.parts)
     credits = { .parts = aRoute.parts, .credit = std::vector<double>(aRoute.parts.size(), 0) };
 
--- a/lib/Steering/StoreFollowing.cpp
+++ b/lib/Steering/StoreFollowing.cpp
@@ -12,27 +12,29 @@
 /// higher than the bytes of a request between failure domains.
 constexpr size_t kFollowersPerRegion = 2;
 
-/// A starting VM asks the seeds for the state, and follows the store itself when none answered for
-/// this long: many VMs start at once.
-constexpr Duration kSeedsFirst = 700ms;
+/// A starting VM asks the seeds for the state and follows the store itself when none has answered
+/// for this long. Many VMs start at once, and would load the store together.
+constexpr Duration kSeedAnswerTimeout = 700ms;
 
 /// After the start of membership a VM knows only some of the others, and would take itself for a
-/// follower. So long the seeds follow the store, and the others only when no seed tells the state.
-constexpr Duration kSettleTime = 3s;
+/// follower. During this time the seeds follow the store, and other VMs do so only when no seed
+/// sends them the state.
+constexpr Duration kMembershipSettleTime = 3s;
 
-/// A VM that asks others follows the store itself when none vouched for it for this long.
-constexpr Duration kVouchedLife = 800ms;
+/// A VM that asks others follows the store itself when none has reported it reachable for this
+/// long.
+constexpr Duration kPeerReportLifetime = 800ms;
 
 /// Longest waits of followers and of the others between two calls to a store that does not answer.
-/// The followers see its return first.
-constexpr Duration kFollowerWait = 800ms;
-constexpr Duration kOtherWait = 2400ms;
+/// The followers retry more often, so they notice its return first.
+constexpr Duration kMaxFollowerRetryWait = 800ms;
+constexpr Duration kMaxNonFollowerRetryWait = 2400ms;
 
 /// Pause between two watches of one kind for each VM that follows the store, and the longest: a
 /// burst of changes comes in a few answers instead of one each. The longest leaves most of the 2.5
 /// s within which changes must be in force.
 constexpr Duration kPausePerFollower = 10ms;
-constexpr Duration kLongestPause = 400ms;
+constexpr Duration kMaxPause = 400ms;
 
 } // namespace
 
@@ -42,14 +44,14 @@
 }
 
 void
-StoreFollowing::OnMembers(TimePoint aNow, const std::vector<Vm>& aLive)
+StoreFollowing::OnMembershipChange(TimePoint aNow, const std::vector<Vm>& aLiveVms)
 {
-  if (!membersSince_)
-    membersSince_ = aNow;
-  live_ = aLive;
+  if (!membershipStartedAt_)
+    membershipStartedAt_ = aNow;
+  liveVms_ = aLiveVms;
   followers_.clear();
   std::map<RegionId, size_t> perRegion;
-  for (const Vm& vm : live_) {
+  for (const Vm& vm : liveVms_) {
     ++perRegion[vm.region];
     if (vm.region == options_.self.region)
       followers_.push_back(vm);
@@ -59,35 +61,36 @@
     return RendezvousWeight(region, aLeft.id.Value()) > RendezvousWeight(region, aRight.id.Value());
   });
   followers_.resize(std::min(followers_.size(), kFollowersPerRegion));
-  allFollowers_ = 0;
+  followersInAllRegions_ = 0;
   for (const auto& [name, vms] : perRegion)
-    allFollowers_ += std::min(vms, kFollowersPerRegion);
+    followersInAllRegions_ += std::min(vms, kFollowersPerRegion);
 }
 
 bool
-StoreFollowing::OnCall(ObjectKind aKind, bool aAnswered)
+StoreFollowing::OnStoreCallEnd(ObjectKind aKind, bool aAnswered)
 {
-  const bool before = Reachable();
-  answered_[static_cast<size_t>(aKind)] = aAnswered;
-  everReachable_ = everReachable_ || Reachable();
-  return before != Reachable();
+  const bool wasReachable = IsStoreReachable();
+  lastCallAnswered_[static_cast<size_t>(aKind)] = aAnswered;
+  wasEverReachable_ = wasEverReachable_ || IsStoreReachable();
+  return wasReachable != IsStoreReachable();
 }
 
 bool
-StoreFollowing::OnVouched(TimePoint aNow)
+StoreFollowing::OnPeerReportsStoreReachable(TimePoint aNow)
 {
-  vouchedAt_ = aNow;
-  if (everReachable_)
+  peerReportedReachableAt_ = aNow;
+  if (wasEverReachable_)
     return false;
-  everReachable_ = true;
-  answered_.fill(true);
+  wasEverReachable_ = true;
+  lastCallAnswered_.fill(true);
   return true;
 }
 
 bool
-StoreFollowing::Reachable() const
+StoreFollowing::IsStoreReachable() const
 {
-  return std::all_of(answered_.begin(), answered_.end(), [](bool aIt) { return aIt; });
+  return std::all_of(
+    lastCallAnswered_.begin(), lastCallAnswered_.end(), [](bool aAnswered) { return aAnswered; });
 }
 
 bool
@@ -98,15 +101,15 @@
 }
 
 bool
-StoreFollowing::IsSettled(TimePoint aNow) const
+StoreFollowing::IsMembershipSettled(TimePoint aNow) const
 {
-  return membersSince_ && aNow - *membersSince_ >= kSettleTime;
+  return membershipStartedAt_ && aNow - *membershipStartedAt_ >= kMembershipSettleTime;
 }
 
 bool
 StoreFollowing::IsFollower(TimePoint aNow) const
 {
-  if (!IsSettled(aNow))
+  if (!IsMembershipSettled(aNow))
     return IsSeed();
   return std::any_of(followers_.begin(), followers_.end(), [this](const Vm& aVm) {
     return aVm.id == options_.self.id;
@@ -114,17 +117,18 @@
 }
 
 bool
-StoreFollowing::WaitsForSeeds(TimePoint aNow) const
+StoreFollowing::IsWaitingForSeeds(TimePoint aNow) const
 {
-  return !everReachable_ && !options_.seeds.empty() && !IsSeed() &&
-         aNow - options_.startedAt < kSeedsFirst;
+  return !wasEverReachable_ && !options_.seeds.empty() && !IsSeed() &&
+         aNow - options_.startedAt < kSeedAnswerTimeout;
 }
 
 bool
-StoreFollowing::IsServed(TimePoint aNow) const
+StoreFollowing::IsServedByFollower(TimePoint aNow) const
 {
-  // After a loss of its own this VM makes sure that the store answers it again.
-  return Reachable() && vouchedAt_ && aNow - *vouchedAt_ < kVouchedLife && !IsFollower(aNow);
+  // After this VM itself has lost the store, it keeps calling until the store answers it again.
+  return IsStoreReachable() && peerReportedReachableAt_ &&
+         aNow - *peerReportedReachableAt_ < kPeerReportLifetime && !IsFollower(aNow);
 }
 
 std::vector<Endpoint>
@@ -135,18 +139,18 @@
     for (const Vm& vm : aVms)
       peers.push_back(vm.peers);
   };
-  if (Reachable()) {
+  if (IsStoreReachable()) {
     if (IsFollower(aNow))
       return {};
-    if (IsSettled(aNow))
+    if (IsMembershipSettled(aNow))
       add(followers_);
     else
       peers = options_.seeds;
-  } else if (WaitsForSeeds(aNow)) {
+  } else if (IsWaitingForSeeds(aNow)) {
     peers = options_.seeds;
   } else {
-    add(live_);
-    if (live_.size() <= 1) {
+    add(liveVms_);
+    if (liveVms_.size() <= 1) {
       add(aRegistered);
       peers.insert(peers.end(), options_.seeds.begin(), options_.seeds.end());
     }
@@ -156,15 +160,15 @@
 }
 
 Duration
-StoreFollowing::LongestRetryWait(TimePoint aNow) const
+StoreFollowing::MaxRetryWait(TimePoint aNow) const
 {
-  return IsFollower(aNow) ? kFollowerWait : kOtherWait;
+  return IsFollower(aNow) ? kMaxFollowerRetryWait : kMaxNonFollowerRetryWait;
 }
 
 Duration
 StoreFollowing::PauseBetweenWatches() const
 {
-  return std::min(kPausePerFollower * static_cast<int64_t>(allFollowers_), kLongestPause);
+  return std::min(kPausePerFollower * static_cast<int64_t>(followersInAllRegions_), kMaxPause);
 }
 
 } // namespace dfm
--- a/unittests/Platform/ObjectsTest.cpp
+++ b/unittests/Platform/ObjectsTest.cpp
@@ -99,7 +99,7 @@
   cr_assert(instance->id == BackendId("i-1") && instance->service == ServiceId("s1"));
   cr_assert(instance->region == RegionId("north") && instance->slots == 9);
   cr_assert(instance->endpoint.port == 8080 && !instance->draining);
-  cr_assert(instance->coldUntil == now + 1500ms && instance->bornMs == 1777881951360);
+  cr_assert(instance->coldUntil == now + 1500ms && instance->startTimeMs == 1777881951360);
 
   using Change = std::function<void(json::object&)>;
   static const Change kChanges[] = {
--- a/unittests/Steering/DispatcherFixture.h
+++ b/unittests/Steering/DispatcherFixture.h
@@ -44,17 +44,17 @@
           .randomSeed = 20261204,
           .retryRatio = 0.2,
           .retrySlack = aRetrySlack },
-        { .start =
+        { .startAttempt =
             [this](const InstanceAttempt& aAttempt) {
               started.push_back(aAttempt);
               running[aAttempt.ticket] = aAttempt;
             },
-          .refuse = [this](Ticket aTicket,
-                           const RequestRefusal& aRefusal) { refused[aTicket] = aRefusal; },
-          .abandon = [this](Ticket aTicket) { abandoned.insert(aTicket); },
-          .probe = [this](const Instance& aInstance,
-                          const ServiceSpec&) { probed.push_back(aInstance.id.Value()); },
-          .crashed = [this](const CrashReport& aReport) { crashes.push_back(aReport); } })
+          .refuseRequest = [this](Ticket aTicket,
+                                  const RequestRefusal& aRefusal) { refused[aTicket] = aRefusal; },
+          .abandonAttempt = [this](Ticket aTicket) { abandoned.insert(aTicket); },
+          .sendProbe = [this](const Instance& aInstance,
+                              const ServiceSpec&) { probed.push_back(aInstance.id.Value()); },
+          .publishCrash = [this](const CrashReport& aReport) { crashes.push_back(aReport); } })
   {
   }
 
@@ -72,7 +72,7 @@
     view->routes = std::make_shared<RouteIndex>(manifest);
     for (const InstanceText& text : aInstances) {
       Instance instance{ .id = BackendId(text.id),
-                         .bornMs = text.born,
+                         .startTimeMs = text.born,
                          .service = ServiceId(text.service),
                          .region = RegionId(text.domain.substr(0, text.domain.find('-'))),
                          .failureDomain = FailureDomainId(text.domain),
--- a/unittests/Steering/FleetKeeperTest.cpp
+++ b/unittests/Steering/FleetKeeperTest.cpp
@@ -28,17 +28,17 @@
       } },
     { .manifestChanged =
         [this](const Manifest& aManifest) { versions.push_back(aManifest.version); },
-      .rejected = [this](const Findings&) { ++rejections; },
+      .objectRejected = [this](const Findings&) { ++rejections; },
       .instanceChanged = [](const Instance&, std::string_view) {} }
   };
 
   void Set(ObjectKind aKind, uint64_t aRevision, std::map<std::string, std::string> aObjects)
   {
-    keeper.OnSet(now, aKind, { .revision = aRevision, .objects = std::move(aObjects) });
+    keeper.OnSnapshot(now, aKind, { .revision = aRevision, .objects = std::move(aObjects) });
   }
   bool Holds(const std::string& aInstance) const
   {
-    const FleetView view = keeper.View();
+    const FleetView view = keeper.BuildView();
     return std::any_of(view.instances.begin(), view.instances.end(), [&](const Instance& aIt) {
       return aIt.id.Value() == aInstance && !aIt.draining;
     });
@@ -69,7 +69,7 @@
     Fixture fixture;
     fixture.Set(ObjectKind::Manifest, 1, { { "main", manifestCase.first } });
     fixture.Set(ObjectKind::Manifest, 2, { { "main", manifestCase.second } });
-    cr_assert(fixture.keeper.View().routes->GetManifest().version == manifestCase.inForce);
+    cr_assert(fixture.keeper.BuildView().routes->GetManifest().version == manifestCase.inForce);
     cr_assert(fixture.rejections == manifestCase.rejections);
   }
 }
@@ -131,7 +131,7 @@
   fixture.Set(ObjectKind::Instances, 1, { { "i-1", "ready" } });
   fixture.keeper.OnStoreReachable(fixture.now, false);
   fixture.Advance(2s);
-  fixture.keeper.OnStoreElsewhere(fixture.now, true);
+  fixture.keeper.OnPeerStoreStatus(fixture.now, true);
   fixture.Set(ObjectKind::Instances, 2, {});
   cr_assert(not fixture.Holds("i-1"));
 }
--- a/unittests/Steering/ManifestTest.cpp
+++ b/unittests/Steering/ManifestTest.cpp
@@ -116,12 +116,12 @@
   kind.kind = ObjectKind::Instances;
   kind.set.revision = 9;
   kind.set.objects["i-1"] = "{}";
-  kind.whole = false;
+  kind.complete = false;
   kind.removed.emplace_back("i-2");
   const PeerMessage messages[] = {
     PeerLoad{ .loads = { { .instance = 7, .inFlight = 3 }, { .instance = 9, .inFlight = 1 } },
               .life = 1500ms },
-    PeerCrash{ .reportId = 5, .fingerprint = 6 },
+    PeerCrashReport{ .reportId = 5, .fingerprint = 6 },
     StateRequest{ .revisions = { 1, 2, 3 } },
     reply,
   };
--- a/unittests/Steering/ObjectCounterTest.cpp
+++ b/unittests/Steering/ObjectCounterTest.cpp
@@ -15,10 +15,10 @@
   for (const uint64_t objects : { 40, 130, 300, 1000 }) {
     Random random(20261204);
     ObjectCounter counter;
-    cr_assert(counter.Estimate() == 0);
+    cr_assert(counter.EstimatedCount() == 0);
     for (int i = 0; i < 400; ++i)
       counter.OnRequest(random.Below(objects));
-    const double ratio = counter.Estimate() / static_cast<double>(objects);
+    const double ratio = counter.EstimatedCount() / static_cast<double>(objects);
     cr_assert(ratio > 0.7 && ratio < 1.4);
   }
 }
@@ -29,7 +29,7 @@
   ObjectCounter counter;
   for (uint64_t key = 0; key < 20'000; ++key)
     counter.OnRequest(key);
-  cr_assert(counter.Estimate() > 3000);
+  cr_assert(counter.EstimatedCount() > 3000);
 }
 
 } // namespace
--- a/unittests/Steering/PeerLoadsTest.cpp
+++ b/unittests/Steering/PeerLoadsTest.cpp
@@ -18,13 +18,13 @@
     start, VmId("vm-1"), { .loads = { { .instance = 7, .inFlight = 3 } }, .life = 1s });
   loads.OnReport(
     start + 500ms, VmId("vm-2"), { .loads = { { .instance = 7, .inFlight = 2 } }, .life = 1s });
-  cr_assert(loads.At(7) == 5);
+  cr_assert(loads.InFlightAt(7) == 5);
   loads.OnReport(
     start + 600ms, VmId("vm-2"), { .loads = { { .instance = 8, .inFlight = 4 } }, .life = 1s });
-  cr_assert(loads.At(7) == 3 && loads.At(8) == 4);
+  cr_assert(loads.InFlightAt(7) == 3 && loads.InFlightAt(8) == 4);
   cr_assert(loads.DropExpired(start + 999ms).empty());
   cr_assert(loads.DropExpired(start + 1s) == std::vector<uint32_t>{ 7 });
-  cr_assert(loads.At(7) == 0 && loads.At(8) == 4);
+  cr_assert(loads.InFlightAt(7) == 0 && loads.InFlightAt(8) == 4);
 }
 
 /// The running sums drifted away from the reports that they are made of.
@@ -53,7 +53,7 @@
           for (const InstanceLoad& load : entry.second)
             sum += load.instance == instance ? load.inFlight : 0;
         }
-        RC_ASSERT(loads.At(instance) == sum);
+        RC_ASSERT(loads.InFlightAt(instance) == sum);
       }
     }
   });
--- a/unittests/Steering/SpillControlTest.cpp
+++ b/unittests/Steering/SpillControlTest.cpp
@@ -18,7 +18,7 @@
 {
   std::vector<RegionId> regions;
   for (uint64_t key = 0; key < kKeys; ++key)
-    regions.push_back(aControl.RegionFor(key * 0x9e3779b97f4a7c15).value_or(RegionId("own")));
+    regions.push_back(aControl.SpillRegionFor(key * 0x9e3779b97f4a7c15).value_or(RegionId("own")));
   return regions;
 }
 
@@ -36,7 +36,7 @@
         uses.push_back({ .region = RegionId(region),
                          .slots = static_cast<double>(*rc::gen::inRange(0, 20)),
                          .busy = static_cast<double>(*rc::gen::inRange(0, 40)) });
-      control.Update(now, uses);
+      control.UpdateShares(now, uses);
       placements.push_back(Placement(control));
       if (placements.size() <= 20)
         continue;
@@ -58,17 +58,17 @@
   const auto run = [&](double aOwn, double aEast) {
     for (int step = 0; step < 50; ++step) {
       now += 100ms;
-      control.Update(now,
-                     { { .region = RegionId("own"), .slots = 10, .busy = aOwn },
-                       { .region = RegionId("east"), .slots = 10, .busy = aEast } });
+      control.UpdateShares(now,
+                           { { .region = RegionId("own"), .slots = 10, .busy = aOwn },
+                             { .region = RegionId("east"), .slots = 10, .busy = aEast } });
     }
   };
   run(10, 9.5);
-  cr_assert(control.Share() == 0);
+  cr_assert(control.TotalShare() == 0);
   run(10, 2);
-  cr_assert(control.Share() > 0.1);
+  cr_assert(control.TotalShare() > 0.1);
   run(2, 2);
-  cr_assert(control.Share() < 0.05);
+  cr_assert(control.TotalShare() < 0.05);
 }
 
 /// A region with few slots began with all requests of its own: everything was cold, and moving a
@@ -92,10 +92,10 @@
   };
   for (const Case& sizes : kCases) {
     SpillControl control(RegionId("own"), {});
-    control.Prepare({ { .region = RegionId("own"), .slots = sizes.own },
-                      { .region = RegionId("east"), .slots = sizes.east },
-                      { .region = RegionId("west"), .slots = sizes.west } });
-    cr_assert(control.Share() >= sizes.least && control.Share() <= sizes.most);
+    control.SetInitialShares({ { .region = RegionId("own"), .slots = sizes.own },
+                               { .region = RegionId("east"), .slots = sizes.east },
+                               { .region = RegionId("west"), .slots = sizes.west } });
+    cr_assert(control.TotalShare() >= sizes.least && control.TotalShare() <= sizes.most);
     // The split between the others follows their room.
     cr_assert(control.ShareOf(RegionId("east")) == control.ShareOf(RegionId("west")));
   }
--- a/unittests/Steering/StoreFollowingTest.cpp
+++ b/unittests/Steering/StoreFollowingTest.cpp
@@ -68,13 +68,13 @@
   {
     return static_cast<size_t>(
       std::count_if(nodes_.begin(), nodes_.end(), [this](const Node& aNode) {
-        return !aNode.diedAt && !aNode.following->IsServed(now_);
+        return !aNode.diedAt && !aNode.following->IsServedByFollower(now_);
       }));
   }
   size_t FirstCaller() const
   {
     for (size_t i = 0; i < nodes_.size(); ++i) {
-      if (!nodes_[i].diedAt && !nodes_[i].following->IsServed(now_))
+      if (!nodes_[i].diedAt && !nodes_[i].following->IsServedByFollower(now_))
         return i;
     }
     return nodes_.size();
@@ -127,12 +127,12 @@
         continue;
       if (node.known > TimePoint{} && (!node.member || changed)) {
         node.member = true;
-        node.following->OnMembers(now_, Live());
+        node.following->OnMembershipChange(now_, Live());
       }
       if (now_ >= node.asksAt)
         Ask(node);
-      if (now_ >= node.callsAt && !node.following->IsServed(now_) &&
-          !(node.known == TimePoint{} && node.following->WaitsForSeeds(now_)))
+      if (now_ >= node.callsAt && !node.following->IsServedByFollower(now_) &&
+          !(node.known == TimePoint{} && node.following->IsWaitingForSeeds(now_)))
         Call(node);
     }
   }
@@ -148,8 +148,8 @@
       if (other.vm.peers != peer || other.diedAt)
         continue;
       aNode.known = std::max(aNode.known, other.known);
-      if (other.following->Vouches(now_))
-        aNode.following->OnVouched(now_);
+      if (other.following->MayReportStoreReachable(now_))
+        aNode.following->OnPeerReportsStoreReachable(now_);
     }
   }
 
@@ -157,8 +157,8 @@
   {
     ++calls_;
     for (size_t i = 0; i < kObjectKindCount; ++i)
-      aNode.following->OnCall(static_cast<ObjectKind>(i), !aNode.refused);
-    aNode.callsAt = now_ + (aNode.refused ? aNode.following->LongestRetryWait(now_) : kStep);
+      aNode.following->OnStoreCallEnd(static_cast<ObjectKind>(i), !aNode.refused);
+    aNode.callsAt = now_ + (aNode.refused ? aNode.following->MaxRetryWait(now_) : kStep);
     if (!aNode.refused)
       aNode.known = now_;
   }
