--- a/include/dragonflymoor/Gateway/Gateway.h
+++ b/include/dragonflymoor/Gateway/Gateway.h
@@ -9,12 +9,13 @@
 
 namespace dfm {
 
-/// What the adapter of the platform provides.
+/// Everything that depends on the platform; provided by the platform's adapter.
 struct PlatformAdapter
 {
   Protocol protocol;
   ObjectDecoders decoders;
-  /// Makes the client of the store; its functions run on the given context's thread.
+  /// Creates the client of the store. Its functions must be called on the thread that runs the
+  /// given context.
   std::function<StoreApi(asio::io_context&)> makeStore;
 };
 
@@ -22,24 +23,24 @@
 {
   SteeringSettings settings;
   PlatformAdapter platform;
-  /// Reads the settings again; for changes while the process runs.
-  std::function<Checked<SteeringSettings>()> reload;
+  /// Reads the settings again, so that changes apply while the process runs.
+  std::function<Checked<SteeringSettings>()> readSettings;
 };
 
-/// The daemon of an entry VM on the users' platform: one thread for the state of the fleet, one for
-/// traffic.
+/// The daemon of an entry VM. The control thread maintains the state of the fleet, the traffic
+/// thread serves requests.
 class Gateway
 {
 public:
-  /// Binds all ports. The findings name those that cannot be used.
+  /// Binds all ports. On failure, the findings name the ports that cannot be bound.
   static Checked<std::unique_ptr<Gateway>> Create(GatewayOptions aOptions);
   ~Gateway();
 
-  /// Serves until a graceful stop, which SIGTERM or SIGINT begins, has ended. SIGHUP reads the
-  /// settings again.
+  /// Serves until a graceful stop, begun by SIGTERM, SIGINT or BeginStop, has ended. SIGHUP reads
+  /// the settings again.
   void Run();
 
-  /// Starts a graceful stop. Safe to call from any thread while Run runs.
+  /// Begins a graceful stop. Safe to call from any thread while Run() runs.
   void BeginStop();
 
 private:
--- a/include/dragonflymoor/Gateway/InstanceClient.h
+++ b/include/dragonflymoor/Gateway/InstanceClient.h
@@ -57,7 +57,8 @@
 struct HealthResult
 {
   ProbeResult result = ProbeResult::Unreachable;
-  Duration coldLeft{};
+  /// How long the instance stays cold, as it states.
+  Duration remainingColdTime{};
 };
 
 /// HTTP client for instances, with kept connections. A connection serves one request at a time and
--- a/include/dragonflymoor/Gateway/Protocol.h
+++ b/include/dragonflymoor/Gateway/Protocol.h
@@ -18,51 +18,56 @@
 
 namespace http = beast::http;
 
-/// What the headers of a caller's request say.
-struct CallerHead
+/// The headers of a caller's request that the gateway evaluates.
+struct CallerHeaders
 {
-  std::string requestId; ///< Empty when there is none.
+  std::string requestId; ///< Empty when the header is missing.
   std::optional<std::string> affinityKey;
-  std::optional<Duration> timeLeft; ///< How long the caller will wait.
+  std::optional<Duration> timeout; ///< How long the caller waits for the answer.
 
-  auto operator<=>(const CallerHead&) const = default;
+  auto operator<=>(const CallerHeaders&) const = default;
 };
 
-/// What the headers of an instance's answer say.
-struct AnswerHead
+/// The headers of an instance's answer that the gateway evaluates.
+struct AnswerHeaders
 {
-  std::string requestId;      ///< Of the request that is answered; empty when there is none.
-  bool notExecuted = false;   ///< The instance states that it did not run the request.
-  bool wrongInstance = false; ///< Another instance than the expected one has the address.
-  bool genuine = false;       ///< Bears the instance's receipt.
-  std::string instance;       ///< In answers to health checks.
-  Duration coldLeft{};        ///< In answers to health checks.
+  std::string requestId;        ///< Of the answered request; empty when the header is missing.
+  bool notExecuted = false;     ///< The instance states that it did not run the request.
+  bool wrongInstance = false;   ///< The address belongs to an instance other than the expected one.
+  bool hasReceipt = false;      ///< Carries the receipt that only an instance adds.
+  std::string instanceId;       ///< Set in answers to health checks.
+  Duration remainingColdTime{}; ///< Set in answers to health checks.
 
-  auto operator<=>(const AnswerHead&) const = default;
+  auto operator<=>(const AnswerHeaders&) const = default;
 };
 
-/// How callers, instances and the platform speak; the platform's adapter provides the functions.
-/// All are safe to call from any thread.
+/// Encoding of the HTTP messages of callers, instances and the directory. The platform's adapter
+/// provides the functions. All of them are safe to call from any thread.
 struct Protocol
 {
-  std::function<CallerHead(const http::fields&)> readCaller;
-  /// Sets the headers of a request to an instance.
-  std::function<void(http::fields&, const BackendId& aExpected, Duration aTimeLeft)> writeAttempt;
-  std::function<AnswerHead(unsigned aStatus, const http::fields&)> readAnswer;
-  /// Empty when the target is not a question to the directory.
-  std::function<std::optional<DirectoryQuery>(std::string_view aTarget)> readQuery;
-  std::function<std::string(const std::vector<Endpoint>&, Duration aTtl)> writeDirectoryAnswer;
-  std::string readinessTarget;
+  /// Parses the headers of a caller's request.
+  std::function<CallerHeaders(const http::fields&)> readCallerHeaders;
+  /// Sets the headers of an attempt's request to the instance aExpected. aTimeLeft is the time
+  /// until the attempt's deadline.
+  std::function<void(http::fields&, const BackendId& aExpected, Duration aTimeLeft)>
+    writeAttemptHeaders;
+  /// Parses the status and headers of an instance's answer.
+  std::function<AnswerHeaders(unsigned aStatus, const http::fields&)> readAnswerHeaders;
+  /// Parses the target of a directory request. Empty when the target is not a directory query.
+  std::function<std::optional<DirectoryQuery>(std::string_view aTarget)> parseDirectoryQuery;
+  /// Formats the body of a directory answer. Callers may cache the addresses for aTtl.
+  std::function<std::string(const std::vector<Endpoint>&, Duration aTtl)> formatDirectoryAnswer;
+  std::string readinessTarget; ///< Path of the readiness check.
 };
 
-/// Why a call to the store gave no result.
+/// Why a call to the store failed.
 struct StoreError
 {
   enum class Kind
   {
-    HistoryGone, ///< The changes since the given revision are no longer known.
-    Unavailable, ///< No answer, or one that says that nothing was done.
-    Rejected,    ///< The call itself was at fault.
+    HistoryGone, ///< The store no longer keeps the changes since the given revision.
+    Unavailable, ///< No usable answer, or the store reports that it did nothing.
+    Rejected,    ///< The store refused the call as invalid.
   };
   Kind kind = Kind::Unavailable;
   std::string message;
@@ -73,22 +78,26 @@
 template<typename T>
 using StoreAnswer = asio::awaitable<tl::expected<T, StoreError>>;
 
-/// What changed in one kind of objects.
+/// Changes of the objects of one kind up to a revision of the store.
 struct ObjectChanges
 {
   uint64_t revision = 0;
   std::vector<ObjectChange> changes;
 };
 
-/// The platform's store. All functions must be called on the thread of the store's client.
+/// Calls to the platform's store. All functions must be called on the thread that runs the store
+/// client's context.
 struct StoreApi
 {
+  /// Reads all objects of a kind.
   std::function<StoreAnswer<ObjectSet>(ObjectKind)> list;
   /// Waits at most aWait for changes after aRevision.
   std::function<StoreAnswer<ObjectChanges>(ObjectKind, uint64_t aRevision, Duration aWait)> watch;
-  /// VMs that registered themselves; may be out of date.
+  /// Reads the registered VMs; the result may be out of date.
   std::function<StoreAnswer<std::vector<Vm>>()> listVms;
+  /// Creates or replaces the registration of a VM.
   std::function<StoreAnswer<bool>(Vm)> registerVm;
+  /// Removes the registration of a VM.
   std::function<StoreAnswer<bool>(VmId)> removeVm;
 };
 
--- a/lib/Gateway/CallerFront.cpp
+++ b/lib/Gateway/CallerFront.cpp
@@ -129,7 +129,7 @@
 
   Ticket ticket = 0;
   http::request<http::string_body> message;
-  CallerHead head;
+  CallerHeaders head;
   std::string caller; ///< Address.
   bool keepAlive = false;
   TimePoint arrived;
@@ -319,7 +319,7 @@
   Request& request = *aRequest;
   request.ticket = nextTicket_++;
   requests_[request.ticket] = aRequest;
-  request.head = protocol_.readCaller(request.message);
+  request.head = protocol_.readCallerHeaders(request.message);
   request.routes = view_->routes;
   metrics_.Count("requests");
   if (request.routes == nullptr) {
@@ -334,8 +334,8 @@
   if (request.route == nullptr)
     co_return OwnAnswer(http::status::not_found, "no route", request);
   request.deadline = request.arrived + request.route->timeout;
-  if (request.head.timeLeft)
-    request.deadline = std::min(request.deadline, request.arrived + *request.head.timeLeft);
+  if (request.head.timeout)
+    request.deadline = std::min(request.deadline, request.arrived + *request.head.timeout);
   WatchCaller(aConnection, aRequest);
   co_return co_await Dispatch(aRequest);
 }
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -205,7 +205,7 @@
 Gateway::Impl::DirectoryPage(std::string_view aTarget)
 {
   metrics.Count("directory-questions");
-  const auto query = options.platform.protocol.readQuery(aTarget);
+  const auto query = options.platform.protocol.parseDirectoryQuery(aTarget);
   if (!query)
     return MakePage(http::status::not_found, "text/plain", "not a question\n");
   const auto vms = ResolveVms(*view, *query, kMaxDirectoryAnswers, random);
@@ -213,7 +213,7 @@
     return MakePage(http::status::service_unavailable, "text/plain", "no vm is known\n");
   return MakePage(http::status::ok,
                   "application/json",
-                  options.platform.protocol.writeDirectoryAnswer(vms, settings.directoryTtl));
+                  options.platform.protocol.formatDirectoryAnswer(vms, settings.directoryTtl));
 }
 
 Page
@@ -260,8 +260,8 @@
       "health check",
       { { "instance", aInstance.id.Value() },
         { "result", std::to_string(static_cast<int>(health.result)) },
-        { "cold_left_ms", std::to_string(health.coldLeft.count() / 1000) } });
-  dispatcher.OnProbe(ReadClocks().monotonic, aInstance.id, health.result, health.coldLeft);
+        { "cold_left_ms", std::to_string(health.remainingColdTime.count() / 1000) } });
+  dispatcher.OnProbe(ReadClocks().monotonic, aInstance.id, health.result, health.remainingColdTime);
 }
 
 asio::awaitable<void>
@@ -314,7 +314,7 @@
 void
 Gateway::Impl::Reload(std::string_view aCause)
 {
-  const auto fresh = options.reload();
+  const auto fresh = options.readSettings();
   if (!fresh) {
     Log(LogLevel::Error,
         kComponent,
--- a/lib/Gateway/InstanceClient.cpp
+++ b/lib/Gateway/InstanceClient.cpp
@@ -183,7 +183,7 @@
       co_return;
     }
     const bool closes = parser.need_eof() || !parser.get().keep_alive();
-    const AnswerHead head = protocol_.readAnswer(parser.get().result_int(), parser.get());
+    const AnswerHeaders head = protocol_.readAnswerHeaders(parser.get().result_int(), parser.get());
     // An answer without an id can only be this request's when no other was ever sent here.
     const bool own =
       head.requestId == aRequestId || (head.requestId.empty() && !aConnection->reused);
@@ -215,7 +215,7 @@
   using Kind = AttemptEndReport::Kind;
   AttemptEndReport& report = aResult.report;
   report.status = aResult.answer->result_int();
-  const AnswerHead head = protocol_.readAnswer(report.status, *aResult.answer);
+  const AnswerHeaders head = protocol_.readAnswerHeaders(report.status, *aResult.answer);
   report.wrongInstance = head.wrongInstance;
   if (head.notExecuted) {
     report.kind = Kind::NotExecuted;
@@ -225,7 +225,7 @@
   // A status that promises "not run" is true only with the instance's statement.
   const bool falsePromise =
     report.status == 429 || report.status == 503 || report.status == 408 || report.status == 421;
-  if ((success && !head.genuine) || falsePromise) {
+  if ((success && !head.hasReceipt) || falsePromise) {
     report.kind = Kind::Broken;
     aResult.error = success ? "success without a receipt" : "refusal without the statement";
     aResult.answer.reset();
@@ -255,9 +255,10 @@
   } else {
     result.reused = connection->reused;
     aControl->socket_ = &connection->socket;
-    protocol_.writeAttempt(*aMessage,
-                           aAttempt.instance,
-                           std::max(Duration(1ms), aAttempt.deadline - ReadClocks().monotonic));
+    protocol_.writeAttemptHeaders(
+      *aMessage,
+      aAttempt.instance,
+      std::max(Duration(1ms), aAttempt.deadline - ReadClocks().monotonic));
     co_await Exchange(connection, aMessage, aRequestId, *aControl, result, reusable);
   }
   aControl->socket_ = nullptr;
@@ -299,9 +300,10 @@
     const std::string requestId;
     co_await Exchange(connection, message, requestId, *control, result, reusable);
     if (result.answer != nullptr) {
-      const AnswerHead head = protocol_.readAnswer(result.answer->result_int(), *result.answer);
-      const bool right = head.instance.empty() || head.instance == aInstance.id.Value();
-      health.coldLeft = head.coldLeft;
+      const AnswerHeaders head =
+        protocol_.readAnswerHeaders(result.answer->result_int(), *result.answer);
+      const bool right = head.instanceId.empty() || head.instanceId == aInstance.id.Value();
+      health.remainingColdTime = head.remainingColdTime;
       health.result = right ? ProbeResult::Healthy : ProbeResult::Unhealthy;
       if (result.answer->result() != http::status::ok)
         health.result =
--- a/tools/dragonflymoord/main.cpp
+++ b/tools/dragonflymoord/main.cpp
@@ -37,10 +37,10 @@
   if (FLAGS_check)
     return EXIT_SUCCESS;
   dfm::BufferLog();
-  auto gateway = dfm::Gateway::Create(
-    { .settings = *settings, .platform = dfm::platform::MakeAdapter(*settings), .reload = [aFile] {
-       return dfm::ReadSteeringSettings(aFile);
-     } });
+  auto gateway =
+    dfm::Gateway::Create({ .settings = *settings,
+                           .platform = dfm::platform::MakeAdapter(*settings),
+                           .readSettings = [aFile] { return dfm::ReadSteeringSettings(aFile); } });
   if (!gateway)
     return Fail(gateway.error());
   (*gateway)->Run();
--- a/unittests/Platform/GatewayFixture.cpp
+++ b/unittests/Platform/GatewayFixture.cpp
@@ -108,7 +108,7 @@
 GatewayFixture::Start(bool aReady)
 {
   auto gateway = Gateway::Create(
-    { .settings = settings_, .platform = platform::MakeAdapter(settings_), .reload = [this] {
+    { .settings = settings_, .platform = platform::MakeAdapter(settings_), .readSettings = [this] {
        return Checked<SteeringSettings>(settings_);
      } });
   if (!gateway)
--- a/unittests/Platform/ObjectsTest.cpp
+++ b/unittests/Platform/ObjectsTest.cpp
@@ -142,18 +142,19 @@
   http::fields fields;
   fields.set("x-request-id", "id-1");
   fields.set("X-Deadline-Ms", "1200");
-  const CallerHead caller = protocol.readCaller(fields);
-  cr_assert(caller.requestId == "id-1" && !caller.affinityKey && caller.timeLeft == 1200ms);
+  const CallerHeaders caller = protocol.readCallerHeaders(fields);
+  cr_assert(caller.requestId == "id-1" && !caller.affinityKey && caller.timeout == 1200ms);
   fields.set("X-Deadline-Ms", "soon");
-  cr_assert(not protocol.readCaller(fields).timeLeft.has_value());
-  cr_assert(protocol.readAnswer(421, fields).wrongInstance);
-  cr_assert(protocol.readAnswer(421, fields).notExecuted);
-  cr_assert(not protocol.readAnswer(503, fields).notExecuted);
-  const auto query = protocol.readQuery("/resolve?name=a.example&region=north&zone=north%2Da");
+  cr_assert(not protocol.readCallerHeaders(fields).timeout.has_value());
+  cr_assert(protocol.readAnswerHeaders(421, fields).wrongInstance);
+  cr_assert(protocol.readAnswerHeaders(421, fields).notExecuted);
+  cr_assert(not protocol.readAnswerHeaders(503, fields).notExecuted);
+  const auto query =
+    protocol.parseDirectoryQuery("/resolve?name=a.example&region=north&zone=north%2Da");
   cr_assert(query && query->host == "a.example" && query->region == RegionId("north"));
   cr_assert(query->failureDomain == FailureDomainId("north-a"));
-  cr_assert(not protocol.readQuery("/other?name=a").has_value());
-  cr_assert(protocol.writeDirectoryAnswer({ { "10.0.0.1", 80 } }, 1s) ==
+  cr_assert(not protocol.parseDirectoryQuery("/other?name=a").has_value());
+  cr_assert(protocol.formatDirectoryAnswer({ { "10.0.0.1", 80 } }, 1s) ==
             R"({"addrs":["10.0.0.1:80"],"ttl_s":1E0})");
 }
 
