--- a/include/dragonflymoor/Gateway/CallerFront.h
+++ b/include/dragonflymoor/Gateway/CallerFront.h
@@ -14,8 +14,9 @@
 
 namespace dfm {
 
-/// Serves callers: reads their requests, hands each to the dispatcher, carries out its attempts and
-/// writes the answer. Belongs to the traffic thread.
+/// Serves callers over HTTP: reads their requests, submits each to the dispatcher, runs the
+/// attempts that the dispatcher starts and writes the answer. Must be used on the traffic thread
+/// only.
 class CallerFront
 {
 public:
@@ -30,19 +31,21 @@
   void Serve(tcp::socket aSocket);
   void SetView(std::shared_ptr<const FleetView> aView) { view_ = std::move(aView); }
 
-  // Actions of the dispatcher.
-  void Start(const InstanceAttempt& aAttempt);
-  void Refuse(Ticket aTicket, const RequestRefusal& aRefusal);
-  void Abandon(Ticket aTicket);
+  // Called by the dispatcher's hooks.
 
-  /// Closes connections of callers that are too slow or idle. To be called a few times a second.
+  void StartAttempt(const InstanceAttempt& aAttempt);
+  void RefuseRequest(Ticket aTicket, const RequestRefusal& aRefusal);
+  void AbandonAttempt(Ticket aTicket);
+
+  /// Closes connections whose request header or idle time exceeds its time-out. To be called a few
+  /// times a second.
   void OnTick(TimePoint aNow);
-  /// From now on each answer closes its connection.
+  /// From now on, each connection is closed after its next answer.
   void BeginStop() { stopping_ = true; }
-  /// Closes the connections that carry no request.
-  void CloseIdle();
-  /// Requests whose answer is not yet written.
-  size_t Unanswered() const { return requests_.size(); }
+  /// Closes the connections on which no request has begun to arrive.
+  void CloseIdleConnections();
+  /// Number of requests whose answer is not yet written.
+  size_t UnansweredRequestCount() const { return requests_.size(); }
 
 private:
   struct Connection;
@@ -51,24 +54,25 @@
   using RequestPtr = std::shared_ptr<Request>;
   using Answer = http::response<http::string_body>;
 
-  asio::awaitable<void> Run(ConnectionPtr aConnection);
-  /// Reads one request; false when the connection ends.
-  asio::awaitable<bool> Read(const ConnectionPtr& aConnection, const RequestPtr& aRequest);
-  /// The answer; null when the caller has left.
-  asio::awaitable<std::shared_ptr<Answer>> AnswerTo(const ConnectionPtr& aConnection,
-                                                    const RequestPtr& aRequest);
-  asio::awaitable<std::shared_ptr<Answer>> Dispatch(const RequestPtr& aRequest);
-  asio::awaitable<InstanceExchange> Execute(const RequestPtr& aRequest,
-                                            const InstanceAttempt& aAttempt);
-  void WatchCaller(const ConnectionPtr& aConnection, const RequestPtr& aRequest);
+  asio::awaitable<void> ServeRequests(ConnectionPtr aConnection);
+  /// Reads one request. Returns false when the connection must be closed.
+  asio::awaitable<bool> ReadRequest(const ConnectionPtr& aConnection, const RequestPtr& aRequest);
+  /// Routes and runs the request. Returns its answer, or null when the caller closed the
+  /// connection.
+  asio::awaitable<std::shared_ptr<Answer>> ProcessRequest(const ConnectionPtr& aConnection,
+                                                          const RequestPtr& aRequest);
+  asio::awaitable<std::shared_ptr<Answer>> DispatchRequest(const RequestPtr& aRequest);
+  asio::awaitable<InstanceExchangeResult> RunAttempt(const RequestPtr& aRequest,
+                                                     const InstanceAttempt& aAttempt);
+  void WatchForCallerClose(const ConnectionPtr& aConnection, const RequestPtr& aRequest);
   void OnCallerGone(const RequestPtr& aRequest);
-  std::shared_ptr<Answer> OwnAnswer(http::status aStatus,
-                                    std::string_view aReason,
-                                    const Request& aRequest) const;
+  std::shared_ptr<Answer> MakeOwnAnswer(http::status aStatus,
+                                        std::string_view aReason,
+                                        const Request& aRequest) const;
   void LogRefusal(const Request& aRequest) const;
   void LogAttempt(const Request& aRequest,
                   const InstanceAttempt& aAttempt,
-                  const InstanceExchange& aResult,
+                  const InstanceExchangeResult& aResult,
                   Verdict aVerdict) const;
 
   asio::io_context& context_;
--- a/include/dragonflymoor/Gateway/InstanceClient.h
+++ b/include/dragonflymoor/Gateway/InstanceClient.h
@@ -19,39 +19,39 @@
 using InstanceRequest = http::request<http::string_body>;
 using InstanceAnswer = http::response<http::string_body>;
 
-/// Lets others end an exchange with an instance. Belongs to the thread of its socket.
+/// Ends an exchange with an instance from outside of it. Must be used on the thread of the socket.
 class ExchangeControl
 {
 public:
-  enum class End
+  enum class CloseReason
   {
     None,
     Deadline,
-    Connect, ///< No connection was opened in time.
+    ConnectTimeout, ///< No connection was established in time.
     Abandoned,
     CallerGone,
   };
 
   /// Closes the connection; the exchange ends soon afterwards. The first reason counts.
-  void Close(End aReason);
-  End Reason() const { return reason_; }
+  void Close(CloseReason aReason);
+  CloseReason GetCloseReason() const { return closeReason_; }
 
 private:
   friend class InstanceClient;
 
   tcp::socket* socket_ = nullptr; ///< Null while there is no connection.
-  End reason_ = End::None;
+  CloseReason closeReason_ = CloseReason::None;
   TimePoint deadline_;
   std::optional<TimePoint> connectDeadline_;
 };
 
-/// The end of an exchange, with the answer if there is a usable one.
-struct InstanceExchange
+/// How an exchange ended, with the answer if there is a usable one.
+struct InstanceExchangeResult
 {
   AttemptEndReport report;
   std::shared_ptr<InstanceAnswer> answer;
   std::string error;   ///< For the log.
-  bool reused = false; ///< On a connection that served requests before.
+  bool reused = false; ///< The connection had served other requests before.
 };
 
 struct HealthResult
@@ -61,27 +61,29 @@
   Duration remainingColdTime{};
 };
 
-/// HTTP client for instances, with kept connections. A connection serves one request at a time and
-/// is not used again unless exactly the whole answer arrived on it. Not thread-safe.
+/// HTTP client for instances that reuses connections. A connection serves one request at a time. It
+/// is reused only if the whole answer, and nothing else, arrived on it. Not thread-safe.
 class InstanceClient
 {
 public:
   InstanceClient(asio::io_context& aContext, const Protocol& aProtocol, Metrics& aMetrics);
 
   /// Sends aMessage to the attempt's instance and waits for the whole answer. All referenced
-  /// objects must live until the end.
-  asio::awaitable<InstanceExchange> Run(const InstanceAttempt& aAttempt,
-                                        const std::shared_ptr<InstanceRequest>& aMessage,
-                                        const std::string& aRequestId,
-                                        const std::shared_ptr<ExchangeControl>& aControl);
-
-  /// Asks an instance for its health on a new connection.
-  asio::awaitable<HealthResult> Probe(Instance aInstance, std::string aHealthPath);
-
-  /// Ends exchanges whose time is over, and idle connections. To be called every 10 ms.
+  /// objects must outlive the returned awaitable.
+  asio::awaitable<InstanceExchangeResult> SendAttempt(
+    const InstanceAttempt& aAttempt,
+    const std::shared_ptr<InstanceRequest>& aMessage,
+    const std::string& aRequestId,
+    const std::shared_ptr<ExchangeControl>& aControl);
+
+  /// Sends a health check to an instance on a new connection.
+  asio::awaitable<HealthResult> CheckHealth(Instance aInstance, std::string aHealthPath);
+
+  /// Closes exchanges that passed their deadline, and connections that are idle for too long. To be
+  /// called every 10 ms.
   void OnTick(TimePoint aNow);
-  /// Drops the connections to all other instances.
-  void KeepOnly(const std::set<BackendId>& aInstances);
+  /// Closes the idle connections to all instances other than aInstances.
+  void KeepOnlyConnectionsTo(const std::set<BackendId>& aInstances);
 
 private:
   struct Connection
@@ -95,13 +97,13 @@
     beast::flat_buffer buffer;
     Endpoint endpoint;
     TimePoint idleSince;
-    Duration idleLimit{};
+    Duration maxIdleTime{};
     bool reused = false;
   };
-  /// Shared with a write that may outlast the exchange.
+  /// Shared, as a write may outlast its exchange.
   using ConnectionPtr = std::shared_ptr<Connection>;
 
-  ConnectionPtr TakeIdle(const InstanceAttempt& aAttempt);
+  ConnectionPtr TakeIdleConnection(const InstanceAttempt& aAttempt);
   asio::awaitable<ConnectionPtr> Connect(const Endpoint& aEndpoint,
                                          ExchangeControl& aControl,
                                          std::string& aError);
@@ -109,18 +111,19 @@
                                  const std::shared_ptr<InstanceRequest>& aMessage,
                                  const std::string& aRequestId,
                                  ExchangeControl& aControl,
-                                 InstanceExchange& aResult,
+                                 InstanceExchangeResult& aResult,
                                  bool& aReusable);
-  /// Decides what the answer of a request says.
-  void Judge(InstanceExchange& aResult) const;
-  void GiveBack(const BackendId& aInstance, ConnectionPtr aConnection);
+  /// Sets the kind of the report from the status and headers of the answer. Discards an answer that
+  /// must not be delivered.
+  void EvaluateAnswer(InstanceExchangeResult& aResult) const;
+  void ReturnConnection(const BackendId& aInstance, ConnectionPtr aConnection);
 
   asio::io_context& context_;
   const Protocol& protocol_;
   Metrics& metrics_;
-  std::map<BackendId, std::vector<ConnectionPtr>> idle_;
-  std::set<std::shared_ptr<ExchangeControl>> controls_;
-  TimePoint nextIdleCheck_;
+  std::map<BackendId, std::vector<ConnectionPtr>> idleConnections_;
+  std::set<std::shared_ptr<ExchangeControl>> activeControls_;
+  TimePoint nextIdleCheckTime_;
 };
 
 } // namespace dfm
--- a/lib/Gateway/CallerFront.cpp
+++ b/lib/Gateway/CallerFront.cpp
@@ -20,10 +20,10 @@
 
 constexpr std::string_view kComponent = "caller";
 
-/// In force while no manifest, which states the real ones, is known.
+/// Used until the first manifest, which states the limits, is known.
 constexpr CallerLimits kDefaultLimits{};
 
-/// Headers that concern one connection only, besides those that "Connection" names.
+/// Hop-by-hop headers, besides those that the "Connection" header names.
 constexpr std::array kConnectionHeaders{
   http::field::connection, http::field::keep_alive, http::field::proxy_connection,
   http::field::te,         http::field::trailer,    http::field::transfer_encoding,
@@ -31,7 +31,7 @@
 };
 
 std::string_view
-View(beast::string_view aText)
+ToStringView(beast::string_view aText)
 {
   return { aText.data(), aText.size() };
 }
@@ -39,24 +39,24 @@
 void
 RemoveConnectionHeaders(http::fields& aFields)
 {
-  const std::string named(View(aFields[http::field::connection]));
+  const std::string connectionTokens(ToStringView(aFields[http::field::connection]));
   for (const auto name : kConnectionHeaders)
     aFields.erase(name);
-  for (const auto& token : http::token_list(named)) {
-    // A caller must not remove what frames the message.
+  for (const auto& token : http::token_list(connectionTokens)) {
+    // A caller must not remove the headers that delimit and address the message.
     if (!beast::iequals(token, "content-length") && !beast::iequals(token, "host"))
       aFields.erase(token);
   }
 }
 
 double
-Milliseconds(Duration aDuration)
+ToMilliseconds(Duration aDuration)
 {
   return ToSeconds(aDuration) * 1000;
 }
 
 http::status
-StatusOf(const error_code& aError)
+StatusForReadError(const error_code& aError)
 {
   if (aError == http::error::header_limit)
     return http::status::request_header_fields_too_large;
@@ -65,7 +65,7 @@
   return http::status::bad_request;
 }
 
-/// Whether a read error is the caller's fault, so that it gets an answer.
+/// Whether a read error is due to an invalid request, which is answered with an error status.
 bool
 IsProtocolError(const error_code& aError)
 {
@@ -96,9 +96,9 @@
 {
   enum class Phase
   {
-    Idle, ///< No byte of the next request has arrived.
-    Header,
-    Body,
+    Idle,      ///< No byte of the next request has arrived.
+    Header,    ///< The header is arriving.
+    Body,      ///< The header is complete, the body is arriving.
     Answering, ///< A whole request has arrived.
   };
 
@@ -110,12 +110,12 @@
   tcp::socket socket;
   beast::flat_buffer buffer;
   Phase phase = Phase::Idle;
-  TimePoint since; ///< Start of the present phase.
+  TimePoint phaseStart; ///< When the current phase began.
 
-  void Enter(Phase aPhase)
+  void EnterPhase(Phase aPhase)
   {
     phase = aPhase;
-    since = ReadClocks().monotonic;
+    phaseStart = ReadClocks().monotonic;
   }
 };
 
@@ -123,24 +123,24 @@
 struct CallerFront::Request
 {
   explicit Request(asio::io_context& aContext)
-    : wake(aContext)
+    : wakeTimer(aContext)
   {
   }
 
   Ticket ticket = 0;
   http::request<http::string_body> message;
   CallerHeaders head;
-  std::string caller; ///< Address.
+  std::string callerAddress;
   bool keepAlive = false;
-  TimePoint arrived;
+  TimePoint arrivalTime;
   TimePoint deadline;
   std::shared_ptr<const RouteIndex> routes;
   const Route* route = nullptr;
-  asio::steady_timer wake; ///< Cancelled when one of the following is set.
+  asio::steady_timer wakeTimer; ///< Cancelled when `attempt`, `refusal` or `callerGone` is set.
   std::optional<InstanceAttempt> attempt;
   std::optional<RequestRefusal> refusal;
   bool callerGone = false;
-  std::shared_ptr<ExchangeControl> control; ///< Of the attempt in flight.
+  std::shared_ptr<ExchangeControl> control; ///< Of the attempt in flight; null without one.
 };
 
 CallerFront::CallerFront(asio::io_context& aContext,
@@ -164,35 +164,36 @@
 {
   SetLiveness(aSocket);
   auto connection = std::make_shared<Connection>(std::move(aSocket));
-  connection->Enter(Connection::Phase::Idle);
+  connection->EnterPhase(Connection::Phase::Idle);
   connections_.insert(connection);
-  asio::co_spawn(context_, Run(std::move(connection)), asio::detached);
+  asio::co_spawn(context_, ServeRequests(std::move(connection)), asio::detached);
 }
 
 asio::awaitable<void>
-CallerFront::Run(ConnectionPtr aConnection)
+CallerFront::ServeRequests(ConnectionPtr aConnection)
 {
   error_code ignored; // The connection ends in any case.
   for (;;) {
     const auto request = std::make_shared<Request>(context_);
-    const bool read = co_await Read(aConnection, request);
-    if (!read)
+    const bool requestRead = co_await ReadRequest(aConnection, request);
+    if (!requestRead)
       break;
-    const auto answer = co_await AnswerTo(aConnection, request);
+    const auto answer = co_await ProcessRequest(aConnection, request);
     if (answer == nullptr)
       break;
     answer->keep_alive(request->keepAlive && !stopping_);
-    const bool keep = answer->keep_alive();
+    const bool keepAlive = answer->keep_alive();
     auto [error, bytes] = co_await http::async_write(aConnection->socket, *answer, kAwaitTuple);
     requests_.erase(request->ticket);
     if (request->route != nullptr)
       metrics_.Observe("request",
                        "route",
                        request->route->name,
-                       ToSeconds(ReadClocks().monotonic - request->arrived));
-    aConnection->Enter(Connection::Phase::Idle);
-    if (error || !keep) {
-      // Unread bytes would turn the close into a reset that may overtake the answer.
+                       ToSeconds(ReadClocks().monotonic - request->arrivalTime));
+    aConnection->EnterPhase(Connection::Phase::Idle);
+    if (error || !keepAlive) {
+      // Closing a socket with unread bytes sends a reset, which may reach the caller before the
+      // answer does.
       aConnection->socket.shutdown(tcp::socket::shutdown_send, ignored);
       break;
     }
@@ -202,7 +203,7 @@
 }
 
 asio::awaitable<bool>
-CallerFront::Read(const ConnectionPtr& aConnection, const RequestPtr& aRequest)
+CallerFront::ReadRequest(const ConnectionPtr& aConnection, const RequestPtr& aRequest)
 {
   Connection& connection = *aConnection;
   if (connection.buffer.size() == 0) {
@@ -210,7 +211,7 @@
     if (error)
       co_return false;
   }
-  connection.Enter(Connection::Phase::Header);
+  connection.EnterPhase(Connection::Phase::Header);
   const CallerLimits limits =
     view_->routes == nullptr ? kDefaultLimits : view_->routes->GetManifest().limits;
   http::request_parser<http::string_body> parser;
@@ -225,7 +226,7 @@
     error = writeError;
   }
   if (!error && !parser.is_done()) {
-    connection.Enter(Connection::Phase::Body);
+    connection.EnterPhase(Connection::Phase::Body);
     auto [bodyError, bodyBytes] =
       co_await http::async_read(connection.socket, connection.buffer, parser, kAwaitTuple);
     error = bodyError;
@@ -234,24 +235,24 @@
     if (IsProtocolError(error)) {
       metrics_.Count("bad-requests", Reason::BadRequest);
       Log(LogLevel::Warning, kComponent, "bad request", { { "error", error.message() } });
-      http::response<http::string_body> answer(StatusOf(error), 11);
+      http::response<http::string_body> answer(StatusForReadError(error), 11);
       answer.keep_alive(false);
       answer.prepare_payload();
       co_await http::async_write(connection.socket, answer, kAwaitTuple);
     }
     co_return false;
   }
-  connection.Enter(Connection::Phase::Answering);
+  connection.EnterPhase(Connection::Phase::Answering);
   aRequest->keepAlive = parser.get().keep_alive();
   aRequest->message = parser.release();
-  aRequest->arrived = ReadClocks().monotonic;
-  error_code noPeer;
-  aRequest->caller = connection.socket.remote_endpoint(noPeer).address().to_string();
+  aRequest->arrivalTime = ReadClocks().monotonic;
+  error_code ignored; // Without a peer the address is unspecified.
+  aRequest->callerAddress = connection.socket.remote_endpoint(ignored).address().to_string();
   co_return true;
 }
 
 void
-CallerFront::WatchCaller(const ConnectionPtr& aConnection, const RequestPtr& aRequest)
+CallerFront::WatchForCallerClose(const ConnectionPtr& aConnection, const RequestPtr& aRequest)
 {
   aConnection->socket.async_wait(
     tcp::socket::wait_read,
@@ -265,7 +266,7 @@
           ? 0
           : ::recv(
               aConnection->socket.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
-      // A byte belongs to a request that the caller sent ahead; it waits in the socket.
+      // A readable byte belongs to a pipelined request. It stays in the socket.
       const bool open = received > 0 || (received < 0 && errno == EAGAIN);
       if (!open)
         OnCallerGone(request);
@@ -276,24 +277,25 @@
 CallerFront::OnCallerGone(const RequestPtr& aRequest)
 {
   metrics_.Count("requests-cancelled", Reason::CallerGone);
-  Log(LogLevel::Info,
-      kComponent,
-      "caller left",
-      { { "request", aRequest->head.requestId },
-        { "after_ms",
-          fmt::format("{:.1f}", Milliseconds(ReadClocks().monotonic - aRequest->arrived)) } });
+  Log(
+    LogLevel::Info,
+    kComponent,
+    "caller left",
+    { { "request", aRequest->head.requestId },
+      { "after_ms",
+        fmt::format("{:.1f}", ToMilliseconds(ReadClocks().monotonic - aRequest->arrivalTime)) } });
   aRequest->callerGone = true;
   dispatcher_.Cancel(ReadClocks().monotonic, aRequest->ticket);
   requests_.erase(aRequest->ticket);
   if (aRequest->control != nullptr)
-    aRequest->control->Close(ExchangeControl::End::CallerGone);
-  aRequest->wake.cancel();
+    aRequest->control->Close(ExchangeControl::CloseReason::CallerGone);
+  aRequest->wakeTimer.cancel();
 }
 
 std::shared_ptr<CallerFront::Answer>
-CallerFront::OwnAnswer(http::status aStatus,
-                       std::string_view aReason,
-                       const Request& aRequest) const
+CallerFront::MakeOwnAnswer(http::status aStatus,
+                           std::string_view aReason,
+                           const Request& aRequest) const
 {
   auto answer = std::make_shared<Answer>(aStatus, 11);
   answer->set(http::field::content_type, "text/plain");
@@ -309,12 +311,12 @@
         { "manifest",
           std::to_string(aRequest.routes == nullptr ? 0 : aRequest.routes->GetManifest().version) },
         { "after_ms",
-          fmt::format("{:.1f}", Milliseconds(ReadClocks().monotonic - aRequest.arrived)) } });
+          fmt::format("{:.1f}", ToMilliseconds(ReadClocks().monotonic - aRequest.arrivalTime)) } });
   return answer;
 }
 
 asio::awaitable<std::shared_ptr<CallerFront::Answer>>
-CallerFront::AnswerTo(const ConnectionPtr& aConnection, const RequestPtr& aRequest)
+CallerFront::ProcessRequest(const ConnectionPtr& aConnection, const RequestPtr& aRequest)
 {
   Request& request = *aRequest;
   request.ticket = nextTicket_++;
@@ -323,25 +325,25 @@
   request.routes = view_->routes;
   metrics_.Count("requests");
   if (request.routes == nullptr) {
-    auto answer = OwnAnswer(http::status::service_unavailable, "no manifest is known", request);
+    auto answer = MakeOwnAnswer(http::status::service_unavailable, "no manifest is known", request);
     answer->set(http::field::retry_after,
                 fmt::format("{:.2f}", ToSeconds(dispatcher_.RetryAfter())));
     co_return answer;
   }
-  const std::string_view target = View(request.message.target());
-  request.route = request.routes->Find(View(request.message[http::field::host]),
+  const std::string_view target = ToStringView(request.message.target());
+  request.route = request.routes->Find(ToStringView(request.message[http::field::host]),
                                        target.substr(0, target.find('?')));
   if (request.route == nullptr)
-    co_return OwnAnswer(http::status::not_found, "no route", request);
-  request.deadline = request.arrived + request.route->timeout;
+    co_return MakeOwnAnswer(http::status::not_found, "no route", request);
+  request.deadline = request.arrivalTime + request.route->timeout;
   if (request.head.timeout)
-    request.deadline = std::min(request.deadline, request.arrived + *request.head.timeout);
-  WatchCaller(aConnection, aRequest);
-  co_return co_await Dispatch(aRequest);
+    request.deadline = std::min(request.deadline, request.arrivalTime + *request.head.timeout);
+  WatchForCallerClose(aConnection, aRequest);
+  co_return co_await DispatchRequest(aRequest);
 }
 
 asio::awaitable<std::shared_ptr<CallerFront::Answer>>
-CallerFront::Dispatch(const RequestPtr& aRequest)
+CallerFront::DispatchRequest(const RequestPtr& aRequest)
 {
   Request& request = *aRequest;
   RemoveConnectionHeaders(request.message);
@@ -351,32 +353,32 @@
   request.message.version(11);
 
   const uint64_t bodyHash = HashBytes(request.message.body());
-  const std::string identity = fmt::format("{} {} {} {} {}",
-                                           View(request.message.method_string()),
-                                           View(request.message[http::field::host]),
-                                           View(request.message.target()),
-                                           request.caller,
-                                           bodyHash);
+  const std::string fingerprintInput = fmt::format("{} {} {} {} {}",
+                                                   ToStringView(request.message.method_string()),
+                                                   ToStringView(request.message[http::field::host]),
+                                                   ToStringView(request.message.target()),
+                                                   request.callerAddress,
+                                                   bodyHash);
   RequestSpec spec{ .routes = request.routes,
                     .route = request.route,
-                    .arrived = request.arrived,
+                    .arrived = request.arrivalTime,
                     .deadline = request.deadline,
-                    .fingerprint = HashBytes(identity) };
+                    .fingerprint = HashBytes(fingerprintInput) };
   if (request.head.affinityKey)
     spec.affinity = HashBytes(*request.head.affinityKey);
   dispatcher_.Submit(ReadClocks().monotonic, request.ticket, std::move(spec));
 
   for (;;) {
     if (!request.attempt && !request.refusal && !request.callerGone) {
-      request.wake.expires_at(asio::steady_timer::time_point::max());
-      co_await request.wake.async_wait(kAwaitTuple);
+      request.wakeTimer.expires_at(asio::steady_timer::time_point::max());
+      co_await request.wakeTimer.async_wait(kAwaitTuple);
       continue;
     }
     if (request.callerGone)
       co_return nullptr;
     if (request.refusal) {
       LogRefusal(request);
-      auto answer = OwnAnswer(
+      auto answer = MakeOwnAnswer(
         http::status::service_unavailable, dfm::ToString(request.refusal->reason), request);
       answer->set(http::field::retry_after,
                   fmt::format("{:.2f}", ToSeconds(request.refusal->retryAfter)));
@@ -384,7 +386,7 @@
     }
     const InstanceAttempt attempt = *request.attempt;
     request.attempt.reset();
-    const InstanceExchange result = co_await Execute(aRequest, attempt);
+    const InstanceExchangeResult result = co_await RunAttempt(aRequest, attempt);
     if (request.callerGone)
       co_return nullptr;
     const Verdict verdict =
@@ -404,29 +406,30 @@
       }
       case Verdict::Refuse: {
         auto answer =
-          OwnAnswer(http::status::service_unavailable, "refused by the instance", request);
+          MakeOwnAnswer(http::status::service_unavailable, "refused by the instance", request);
         answer->set(http::field::retry_after,
                     fmt::format("{:.2f}", ToSeconds(dispatcher_.RetryAfter())));
         co_return answer;
       }
       case Verdict::Fail: {
         const bool timedOut = result.report.kind == AttemptEndReport::Kind::TimedOut;
-        co_return OwnAnswer(timedOut ? http::status::gateway_timeout : http::status::bad_gateway,
-                            dfm::ToString(result.report.kind),
-                            request);
+        co_return MakeOwnAnswer(timedOut ? http::status::gateway_timeout
+                                         : http::status::bad_gateway,
+                                dfm::ToString(result.report.kind),
+                                request);
       }
     }
   }
 }
 
-asio::awaitable<InstanceExchange>
-CallerFront::Execute(const RequestPtr& aRequest, const InstanceAttempt& aAttempt)
+asio::awaitable<InstanceExchangeResult>
+CallerFront::RunAttempt(const RequestPtr& aRequest, const InstanceAttempt& aAttempt)
 {
-  // Each attempt has its own copy, as a write of the one before may still be ending.
+  // Each attempt has its own copy, as the write of the previous attempt may not have ended.
   const auto message = std::make_shared<InstanceRequest>(aRequest->message);
   aRequest->control = std::make_shared<ExchangeControl>();
-  InstanceExchange result =
-    co_await instances_.Run(aAttempt, message, aRequest->head.requestId, aRequest->control);
+  InstanceExchangeResult result =
+    co_await instances_.SendAttempt(aAttempt, message, aRequest->head.requestId, aRequest->control);
   aRequest->control.reset();
   co_return result;
 }
@@ -434,7 +437,7 @@
 void
 CallerFront::LogAttempt(const Request& aRequest,
                         const InstanceAttempt& aAttempt,
-                        const InstanceExchange& aResult,
+                        const InstanceExchangeResult& aResult,
                         Verdict aVerdict) const
 {
   metrics_.Count(fmt::format("attempts-{}", dfm::ToString(aResult.report.kind)));
@@ -456,8 +459,8 @@
         { "busy", std::to_string(aAttempt.busy) },
         { "slots", std::to_string(aAttempt.slots) },
         { "spilled", aAttempt.spilled ? "1" : "0" },
-        { "waited_ms", fmt::format("{:.1f}", Milliseconds(aAttempt.waited)) },
-        { "latency_ms", fmt::format("{:.1f}", Milliseconds(aResult.report.latency)) },
+        { "waited_ms", fmt::format("{:.1f}", ToMilliseconds(aAttempt.waited)) },
+        { "latency_ms", fmt::format("{:.1f}", ToMilliseconds(aResult.report.latency)) },
         { "reused", aResult.reused ? "1" : "0" },
         { "end", std::string(dfm::ToString(aResult.report.kind)) },
         { "status", std::to_string(aResult.report.status) },
@@ -482,36 +485,36 @@
         { "slots", std::to_string(refusal.slots) },
         { "busy", std::to_string(refusal.busy) },
         { "waiting", std::to_string(refusal.waiting) },
-        { "waited_ms", fmt::format("{:.1f}", Milliseconds(refusal.waited)) },
-        { "retry_after_ms", fmt::format("{:.1f}", Milliseconds(refusal.retryAfter)) } });
+        { "waited_ms", fmt::format("{:.1f}", ToMilliseconds(refusal.waited)) },
+        { "retry_after_ms", fmt::format("{:.1f}", ToMilliseconds(refusal.retryAfter)) } });
 }
 
 void
-CallerFront::Start(const InstanceAttempt& aAttempt)
+CallerFront::StartAttempt(const InstanceAttempt& aAttempt)
 {
   const auto found = requests_.find(aAttempt.ticket);
   if (found == requests_.end())
     return;
   found->second->attempt = aAttempt;
-  found->second->wake.cancel();
+  found->second->wakeTimer.cancel();
 }
 
 void
-CallerFront::Refuse(Ticket aTicket, const RequestRefusal& aRefusal)
+CallerFront::RefuseRequest(Ticket aTicket, const RequestRefusal& aRefusal)
 {
   const auto found = requests_.find(aTicket);
   if (found == requests_.end())
     return;
   found->second->refusal = aRefusal;
-  found->second->wake.cancel();
+  found->second->wakeTimer.cancel();
 }
 
 void
-CallerFront::Abandon(Ticket aTicket)
+CallerFront::AbandonAttempt(Ticket aTicket)
 {
   const auto found = requests_.find(aTicket);
   if (found != requests_.end() && found->second->control != nullptr)
-    found->second->control->Close(ExchangeControl::End::Abandoned);
+    found->second->control->Close(ExchangeControl::CloseReason::Abandoned);
 }
 
 void
@@ -519,21 +522,21 @@
 {
   const CallerLimits limits =
     view_->routes == nullptr ? kDefaultLimits : view_->routes->GetManifest().limits;
-  error_code ignored; // The connection is given up in any case.
+  error_code ignored; // The connection is dropped in any case.
   for (const ConnectionPtr& connection : connections_) {
     if (connection->phase == Connection::Phase::Answering)
       continue;
     const Duration limit =
       connection->phase == Connection::Phase::Header ? limits.headerTimeout : limits.idleTimeout;
-    if (aNow - connection->since >= limit)
+    if (aNow - connection->phaseStart >= limit)
       connection->socket.close(ignored);
   }
 }
 
 void
-CallerFront::CloseIdle()
+CallerFront::CloseIdleConnections()
 {
-  error_code ignored; // As above.
+  error_code ignored; // The connection is dropped in any case.
   for (const ConnectionPtr& connection : connections_) {
     if (connection->phase == Connection::Phase::Idle)
       connection->socket.close(ignored);
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -135,10 +135,10 @@
 Gateway::Impl::MakeDispatcherHooks()
 {
   return {
-    .start = [this](const InstanceAttempt& aAttempt) { front.Start(aAttempt); },
+    .start = [this](const InstanceAttempt& aAttempt) { front.StartAttempt(aAttempt); },
     .refuse = [this](Ticket aTicket,
-                     const RequestRefusal& aRefusal) { front.Refuse(aTicket, aRefusal); },
-    .abandon = [this](Ticket aTicket) { front.Abandon(aTicket); },
+                     const RequestRefusal& aRefusal) { front.RefuseRequest(aTicket, aRefusal); },
+    .abandon = [this](Ticket aTicket) { front.AbandonAttempt(aTicket); },
     .probe =
       [this](const Instance& aInstance, const ServiceSpec& aSpec) {
         asio::co_spawn(traffic, Probe(aInstance, aSpec.healthPath), asio::detached);
@@ -185,7 +185,7 @@
   std::set<BackendId> known;
   for (const Instance& instance : view->instances)
     known.insert(instance.id);
-  instances.KeepOnly(known);
+  instances.KeepOnlyConnectionsTo(known);
   dispatcher.OnFleet(now, view);
 }
 
@@ -254,7 +254,7 @@
 asio::awaitable<void>
 Gateway::Impl::Probe(Instance aInstance, std::string aHealthPath)
 {
-  const HealthResult health = co_await instances.Probe(aInstance, aHealthPath);
+  const HealthResult health = co_await instances.CheckHealth(aInstance, aHealthPath);
   Log(LogLevel::Info,
       kComponent,
       "health check",
@@ -341,7 +341,7 @@
   Log(LogLevel::Info,
       kComponent,
       "graceful stop begins",
-      { { "unanswered", std::to_string(front.Unanswered()) } });
+      { { "unanswered", std::to_string(front.UnansweredRequestCount()) } });
   front.BeginStop();
   asio::post(control, [this] { fleet.BeginStop(); });
 }
@@ -352,19 +352,19 @@
   const Duration since = aNow - *stopBegan;
   if (since >= kStopIdleAfter && !idleClosed) {
     idleClosed = true;
-    front.CloseIdle();
+    front.CloseIdleConnections();
   }
   if (since < kStopAcceptingAfter)
     return false;
   error_code ignored; // The socket is given up in any case.
   callers.close(ignored);
-  front.CloseIdle();
-  if (front.Unanswered() > 0 && since < settings.stopTime - kStopMargin)
+  front.CloseIdleConnections();
+  if (front.UnansweredRequestCount() > 0 && since < settings.stopTime - kStopMargin)
     return false;
   Log(LogLevel::Info,
       kComponent,
       "graceful stop has ended",
-      { { "unanswered", std::to_string(front.Unanswered()) } });
+      { { "unanswered", std::to_string(front.UnansweredRequestCount()) } });
   asio::post(control, [this] {
     fleet.Leave();
     control.stop();
--- a/lib/Gateway/InstanceClient.cpp
+++ b/lib/Gateway/InstanceClient.cpp
@@ -11,36 +11,37 @@
 
 namespace {
 
-/// A connect to another region takes 40 ms; a lost first packet is repeated only after a second.
+/// Connecting to another region takes 40 ms. TCP repeats a lost first packet only after 1 s.
 constexpr Duration kConnectTimeout = 250ms;
 
 /// A health check waits for a slot like any other request.
 constexpr Duration kProbeTimeout = 600ms;
 
-/// After the deadline the instance's own answer to it may still be on its way.
+/// Wait beyond the deadline, as the instance's own time-out answer may still be in transit.
 constexpr Duration kDeadlineGrace = 100ms;
 
-/// Idle time after which a connection is not used again, unless the instance states a shorter one.
-/// Part of the stated time, as the instance may count from an earlier moment.
-constexpr Duration kIdleLimit = 4s;
-constexpr double kIdleShare = 0.6;
+/// Idle time after which a connection is not reused, unless the instance states a shorter one. Only
+/// a fraction of the stated time is used, as the instance may have started to count earlier.
+constexpr Duration kMaxIdleTime = 4s;
+constexpr double kStatedIdleTimeFraction = 0.6;
 
-/// A request that must not run twice goes only on connections that were used this recently: an
-/// instance that closes an idle connection at the same moment leaves open whether it ran.
-constexpr Duration kUnsafeIdleLimit = 1500ms;
+/// A request that is not idempotent reuses only connections that were idle for less than this. If
+/// the instance closed an idle connection just then, it would be unknown whether the request ran.
+constexpr Duration kMaxNonIdempotentIdleTime = 1500ms;
 
 constexpr Duration kIdleCheckPeriod = 500ms;
 
-/// Most idle connections to one instance; more than it has slots are never needed for long.
-constexpr size_t kMaxIdle = 16;
+/// Limit of idle connections to one instance. More connections than the instance has slots are
+/// never needed for long.
+constexpr size_t kMaxIdleConnections = 16;
 
-/// Answers to other requests that are read past on one connection before it is given up.
+/// A connection is closed after this many answers to other requests.
 constexpr int kMaxForeignAnswers = 3;
 
 constexpr size_t kMaxAnswerBytes = 64UL * 1024 * 1024;
 constexpr size_t kMaxAnswerHeaderBytes = 64UL * 1024;
 
-/// Seconds of "Keep-Alive: timeout=N".
+/// The time-out N, in seconds, of a "Keep-Alive: timeout=N" header.
 std::optional<Duration>
 KeepAliveTimeout(const http::fields& aFields)
 {
@@ -58,8 +59,8 @@
   return std::chrono::seconds(seconds);
 }
 
-/// Outcome of the write, which goes on beside the read: an instance may answer before it has read a
-/// long body.
+/// Outcome of the write, which runs concurrently with the read: an instance may answer before it
+/// has read a long body.
 struct WriteState
 {
   bool done = false;
@@ -70,12 +71,12 @@
 } // namespace
 
 void
-ExchangeControl::Close(End aReason)
+ExchangeControl::Close(CloseReason aReason)
 {
-  if (reason_ != End::None)
+  if (closeReason_ != CloseReason::None)
     return;
-  reason_ = aReason;
-  error_code ignored; // The socket is given up in any case.
+  closeReason_ = aReason;
+  error_code ignored; // The socket is dropped in any case.
   if (socket_ != nullptr)
     socket_->close(ignored);
 }
@@ -90,10 +91,10 @@
 }
 
 InstanceClient::ConnectionPtr
-InstanceClient::TakeIdle(const InstanceAttempt& aAttempt)
+InstanceClient::TakeIdleConnection(const InstanceAttempt& aAttempt)
 {
-  const auto found = idle_.find(aAttempt.instance);
-  if (found == idle_.end())
+  const auto found = idleConnections_.find(aAttempt.instance);
+  if (found == idleConnections_.end())
     return nullptr;
   const TimePoint now = ReadClocks().monotonic;
   auto& connections = found->second;
@@ -101,11 +102,12 @@
     ConnectionPtr connection = std::move(connections.back());
     connections.pop_back();
     const Duration idle = now - connection->idleSince;
-    const Duration limit = aAttempt.idempotent ? connection->idleLimit
-                                               : std::min(connection->idleLimit, kUnsafeIdleLimit);
+    const Duration limit = aAttempt.idempotent
+                             ? connection->maxIdleTime
+                             : std::min(connection->maxIdleTime, kMaxNonIdempotentIdleTime);
     if (idle >= limit || connection->endpoint != aAttempt.endpoint)
       continue;
-    // Bytes that nobody asked for, or a close, end the use of the connection.
+    // A connection with unsolicited bytes, or that the instance closed, is not reused.
     if (!IsIdleAndOpen(connection->socket)) {
       metrics_.Count("kept-connections-unusable");
       continue;
@@ -134,7 +136,7 @@
   SetLiveness(connection->socket);
   auto [error] = co_await connection->socket.async_connect(target, kAwaitTuple);
   aControl.connectDeadline_.reset();
-  if (error || aControl.Reason() != ExchangeControl::End::None) {
+  if (error || aControl.GetCloseReason() != ExchangeControl::CloseReason::None) {
     aControl.socket_ = nullptr;
     aError = error ? error.message() : "closed";
     co_return nullptr;
@@ -148,20 +150,20 @@
                          const std::shared_ptr<InstanceRequest>& aMessage,
                          const std::string& aRequestId,
                          ExchangeControl& aControl,
-                         InstanceExchange& aResult,
+                         InstanceExchangeResult& aResult,
                          bool& aReusable)
 {
-  const auto write = std::make_shared<WriteState>();
+  const auto writeState = std::make_shared<WriteState>();
   http::async_write(
     aConnection->socket,
     *aMessage,
-    [write, keep = aMessage, connection = aConnection](error_code aError, size_t aBytes) {
-      write->done = true;
-      write->error = aError;
-      write->bytes = aBytes;
+    [writeState, keep = aMessage, connection = aConnection](error_code aError, size_t aBytes) {
+      writeState->done = true;
+      writeState->error = aError;
+      writeState->bytes = aBytes;
     });
   aResult.report.kind = AttemptEndReport::Kind::Broken;
-  for (int foreign = 0;; ++foreign) {
+  for (int foreignAnswers = 0;; ++foreignAnswers) {
     http::response_parser<http::string_body> parser;
     parser.body_limit(kMaxAnswerBytes);
     parser.header_limit(kMaxAnswerHeaderBytes);
@@ -170,9 +172,10 @@
       aConnection->socket, aConnection->buffer, parser, kAwaitTuple);
     if (headError) {
       aResult.error = headError.message();
-      const bool nothingRead = headBytes == 0 && aConnection->buffer.size() == 0 && foreign == 0;
+      const bool nothingRead =
+        headBytes == 0 && aConnection->buffer.size() == 0 && foreignAnswers == 0;
       aResult.report.reset = nothingRead;
-      if (nothingRead && write->done && write->error && write->bytes == 0)
+      if (nothingRead && writeState->done && writeState->error && writeState->bytes == 0)
         aResult.report.kind = AttemptEndReport::Kind::NotSent;
       co_return;
     }
@@ -182,27 +185,28 @@
       aResult.error = "answer is incomplete: " + bodyError.message();
       co_return;
     }
-    const bool closes = parser.need_eof() || !parser.get().keep_alive();
+    const bool connectionCloses = parser.need_eof() || !parser.get().keep_alive();
     const AnswerHeaders head = protocol_.readAnswerHeaders(parser.get().result_int(), parser.get());
-    // An answer without an id can only be this request's when no other was ever sent here.
-    const bool own =
+    // An answer without an id belongs to this request only if the connection has carried no other.
+    const bool isOwnAnswer =
       head.requestId == aRequestId || (head.requestId.empty() && !aConnection->reused);
-    if (!own) {
+    if (!isOwnAnswer) {
       metrics_.Count("foreign-answers");
-      if (closes || foreign + 1 == kMaxForeignAnswers) {
+      if (connectionCloses || foreignAnswers + 1 == kMaxForeignAnswers) {
         aResult.error = "answer belongs to another request";
         co_return;
       }
       continue;
     }
     const auto idle = KeepAliveTimeout(parser.get());
-    aConnection->idleLimit =
-      idle ? std::min(kIdleLimit,
+    aConnection->maxIdleTime =
+      idle ? std::min(kMaxIdleTime,
                       Duration(static_cast<int64_t>(static_cast<double>(Duration(*idle).count()) *
-                                                    kIdleShare)))
-           : kIdleLimit;
-    aReusable = foreign == 0 && !closes && write->done && !write->error &&
-                aConnection->buffer.size() == 0 && aControl.Reason() == ExchangeControl::End::None;
+                                                    kStatedIdleTimeFraction)))
+           : kMaxIdleTime;
+    aReusable = foreignAnswers == 0 && !connectionCloses && writeState->done &&
+                !writeState->error && aConnection->buffer.size() == 0 &&
+                aControl.GetCloseReason() == ExchangeControl::CloseReason::None;
     aResult.answer = std::make_shared<InstanceAnswer>(parser.release());
     aResult.report.kind = AttemptEndReport::Kind::Answered;
     co_return;
@@ -210,7 +214,7 @@
 }
 
 void
-InstanceClient::Judge(InstanceExchange& aResult) const
+InstanceClient::EvaluateAnswer(InstanceExchangeResult& aResult) const
 {
   using Kind = AttemptEndReport::Kind;
   AttemptEndReport& report = aResult.report;
@@ -222,35 +226,36 @@
     return;
   }
   const bool success = report.status >= 200 && report.status < 300;
-  // A status that promises "not run" is true only with the instance's statement.
-  const bool falsePromise =
+  // A status that means "not run" is trusted only with the instance's not-executed header.
+  const bool claimsNotRun =
     report.status == 429 || report.status == 503 || report.status == 408 || report.status == 421;
-  if ((success && !head.hasReceipt) || falsePromise) {
+  if ((success && !head.hasReceipt) || claimsNotRun) {
     report.kind = Kind::Broken;
-    aResult.error = success ? "success without a receipt" : "refusal without the statement";
+    aResult.error = success ? "answer has a success status but no receipt"
+                            : "answer has a refusal status but no not-executed header";
     aResult.answer.reset();
   }
 }
 
-asio::awaitable<InstanceExchange>
-InstanceClient::Run(const InstanceAttempt& aAttempt,
-                    const std::shared_ptr<InstanceRequest>& aMessage,
-                    const std::string& aRequestId,
-                    const std::shared_ptr<ExchangeControl>& aControl)
+asio::awaitable<InstanceExchangeResult>
+InstanceClient::SendAttempt(const InstanceAttempt& aAttempt,
+                            const std::shared_ptr<InstanceRequest>& aMessage,
+                            const std::string& aRequestId,
+                            const std::shared_ptr<ExchangeControl>& aControl)
 {
   using Kind = AttemptEndReport::Kind;
   const TimePoint started = ReadClocks().monotonic;
-  InstanceExchange result;
+  InstanceExchangeResult result;
   aControl->deadline_ = aAttempt.deadline + kDeadlineGrace;
-  controls_.insert(aControl);
-  ConnectionPtr connection = TakeIdle(aAttempt);
+  activeControls_.insert(aControl);
+  ConnectionPtr connection = TakeIdleConnection(aAttempt);
   if (connection == nullptr) {
     std::string error;
     connection = co_await Connect(aAttempt.endpoint, *aControl, error);
     result.error = error;
   }
   bool reusable = false;
-  if (connection == nullptr || aControl->Reason() != ExchangeControl::End::None) {
+  if (connection == nullptr || aControl->GetCloseReason() != ExchangeControl::CloseReason::None) {
     result.report.kind = Kind::NotSent;
   } else {
     result.reused = connection->reused;
@@ -262,31 +267,31 @@
     co_await Exchange(connection, aMessage, aRequestId, *aControl, result, reusable);
   }
   aControl->socket_ = nullptr;
-  controls_.erase(aControl);
+  activeControls_.erase(aControl);
   if (result.answer != nullptr)
-    Judge(result);
+    EvaluateAnswer(result);
   if (result.report.kind == Kind::Broken) {
-    if (aControl->Reason() == ExchangeControl::End::Deadline)
+    if (aControl->GetCloseReason() == ExchangeControl::CloseReason::Deadline)
       result.report.kind = Kind::TimedOut;
-    else if (aControl->Reason() == ExchangeControl::End::Abandoned)
+    else if (aControl->GetCloseReason() == ExchangeControl::CloseReason::Abandoned)
       result.report.kind = Kind::Abandoned;
   }
   result.report.latency = ReadClocks().monotonic - started;
   if (reusable) {
-    GiveBack(aAttempt.instance, std::move(connection));
+    ReturnConnection(aAttempt.instance, std::move(connection));
   } else if (connection != nullptr) {
-    error_code ignored; // The connection is given up; a write may still be using it.
+    error_code ignored; // The connection is dropped; a write may still be using it.
     connection->socket.close(ignored);
   }
   co_return result;
 }
 
 asio::awaitable<HealthResult>
-InstanceClient::Probe(Instance aInstance, std::string aHealthPath)
+InstanceClient::CheckHealth(Instance aInstance, std::string aHealthPath)
 {
   const auto control = std::make_shared<ExchangeControl>();
   control->deadline_ = ReadClocks().monotonic + kProbeTimeout;
-  controls_.insert(control);
+  activeControls_.insert(control);
   HealthResult health;
   std::string error;
   ConnectionPtr connection = co_await Connect(aInstance.endpoint, *control, error);
@@ -295,38 +300,39 @@
     const auto message = std::make_shared<InstanceRequest>(http::verb::get, aHealthPath, 11);
     message->set(http::field::host, ToText(aInstance.endpoint));
     message->set(http::field::connection, "close");
-    InstanceExchange result;
+    InstanceExchangeResult result;
     bool reusable = false;
     const std::string requestId;
     co_await Exchange(connection, message, requestId, *control, result, reusable);
     if (result.answer != nullptr) {
       const AnswerHeaders head =
         protocol_.readAnswerHeaders(result.answer->result_int(), *result.answer);
-      const bool right = head.instanceId.empty() || head.instanceId == aInstance.id.Value();
+      const bool isExpectedInstance =
+        head.instanceId.empty() || head.instanceId == aInstance.id.Value();
       health.remainingColdTime = head.remainingColdTime;
-      health.result = right ? ProbeResult::Healthy : ProbeResult::Unhealthy;
+      health.result = isExpectedInstance ? ProbeResult::Healthy : ProbeResult::Unhealthy;
       if (result.answer->result() != http::status::ok)
         health.result =
-          head.notExecuted && right ? ProbeResult::Unanswered : ProbeResult::Unhealthy;
-    } else if (control->Reason() == ExchangeControl::End::None) {
+          head.notExecuted && isExpectedInstance ? ProbeResult::Unanswered : ProbeResult::Unhealthy;
+    } else if (control->GetCloseReason() == ExchangeControl::CloseReason::None) {
       health.result = ProbeResult::Unreachable;
     }
   }
   if (connection != nullptr) {
-    error_code ignored; // As above.
+    error_code ignored; // The connection is dropped in any case.
     connection->socket.close(ignored);
   }
   control->socket_ = nullptr;
-  controls_.erase(control);
+  activeControls_.erase(control);
   metrics_.Count("health-checks");
   co_return health;
 }
 
 void
-InstanceClient::GiveBack(const BackendId& aInstance, ConnectionPtr aConnection)
+InstanceClient::ReturnConnection(const BackendId& aInstance, ConnectionPtr aConnection)
 {
-  auto& connections = idle_[aInstance];
-  if (connections.size() >= kMaxIdle)
+  auto& connections = idleConnections_[aInstance];
+  if (connections.size() >= kMaxIdleConnections)
     return;
   aConnection->idleSince = ReadClocks().monotonic;
   connections.push_back(std::move(aConnection));
@@ -335,27 +341,28 @@
 void
 InstanceClient::OnTick(TimePoint aNow)
 {
-  // Closing may end an exchange only later, so the set does not change here.
-  for (const auto& control : controls_) {
+  // Close() does not resume the exchange at once, so the set does not change during the loop.
+  for (const auto& control : activeControls_) {
     if (aNow >= control->deadline_)
-      control->Close(ExchangeControl::End::Deadline);
+      control->Close(ExchangeControl::CloseReason::Deadline);
     else if (control->connectDeadline_ && aNow >= *control->connectDeadline_)
-      control->Close(ExchangeControl::End::Connect);
+      control->Close(ExchangeControl::CloseReason::ConnectTimeout);
   }
-  if (aNow < nextIdleCheck_)
+  if (aNow < nextIdleCheckTime_)
     return;
-  nextIdleCheck_ = aNow + kIdleCheckPeriod;
-  for (auto& [instance, connections] : idle_) {
+  nextIdleCheckTime_ = aNow + kIdleCheckPeriod;
+  for (auto& [instance, connections] : idleConnections_) {
     std::erase_if(connections, [aNow](const ConnectionPtr& aConnection) {
-      return aNow - aConnection->idleSince >= aConnection->idleLimit;
+      return aNow - aConnection->idleSince >= aConnection->maxIdleTime;
     });
   }
 }
 
 void
-InstanceClient::KeepOnly(const std::set<BackendId>& aInstances)
+InstanceClient::KeepOnlyConnectionsTo(const std::set<BackendId>& aInstances)
 {
-  std::erase_if(idle_, [&](const auto& aEntry) { return !aInstances.contains(aEntry.first); });
+  std::erase_if(idleConnections_,
+                [&](const auto& aEntry) { return !aInstances.contains(aEntry.first); });
 }
 
 } // namespace dfm
