--- a/include/dragonflymoor/Gateway/FleetSync.h
+++ b/include/dragonflymoor/Gateway/FleetSync.h
@@ -24,46 +24,46 @@
   uint64_t randomSeed = 0;
 };
 
-/// Keeps what this VM believes of the fleet: follows the store, learns from other VMs what the
-/// store said while it does not answer here, and detects which VMs live. Belongs to the control
-/// thread.
+/// Maintains this VM's view of the fleet: follows the store, reads the store's state from other VMs
+/// while the store does not answer this VM, and detects which VMs are alive. Must be used on the
+/// control thread only.
 class FleetSync
 {
 public:
-  using Publish = std::function<void(std::shared_ptr<const FleetView>)>;
+  using ViewPublisher = std::function<void(std::shared_ptr<const FleetView>)>;
 
   FleetSync(asio::io_context& aContext,
             FleetSyncOptions aOptions,
             StoreApi aStore,
             ObjectDecoders aDecoders,
             Metrics& aMetrics,
-            Publish aPublish);
+            ViewPublisher aPublishView);
 
-  /// Binds the port between VMs.
+  /// Binds the port on which the VMs talk to each other.
   error_code Open();
   void Start();
-  /// This VM leaves: others stop sending callers to it.
+  /// Announces that this VM is leaving, so that other VMs direct no more callers to it.
   void BeginStop();
-  /// This VM ends now.
+  /// Announces that this VM ends now.
   void Leave();
 
 private:
-  asio::awaitable<void> FollowKind(ObjectKind aKind);
-  asio::awaitable<bool> ListKind(ObjectKind aKind);
-  asio::awaitable<void> Register();
+  asio::awaitable<void> FollowObjects(ObjectKind aKind);
+  asio::awaitable<bool> ListObjects(ObjectKind aKind);
+  asio::awaitable<void> RegisterAndListVms();
   asio::awaitable<void> ListVms();
-  asio::awaitable<void> AskPeers();
-  asio::awaitable<void> AskPeer(Endpoint aPeer);
+  asio::awaitable<void> PollPeers();
+  asio::awaitable<void> RequestState(Endpoint aPeer);
   asio::awaitable<void> AcceptPeers();
   asio::awaitable<void> Tick();
-  /// Tells the keeper whether the store can be reached now.
-  void OnStoreReachable(std::string_view aMessage);
-  void OnStoreAnswer(ObjectKind aKind, const std::optional<StoreError>& aError);
-  StateReply ReplyTo(const StateRequest& aRequest) const;
-  void OnState(const VmId& aFrom, const StateReply& aReply);
+  /// Logs aMessage and reports to the keeper whether the store is reachable.
+  void ReportStoreReachable(std::string_view aMessage);
+  void OnStoreCallEnd(ObjectKind aKind, const std::optional<StoreError>& aError);
+  StateReply MakeStateReply(const StateRequest& aRequest) const;
+  void OnStateReply(const VmId& aFrom, const StateReply& aReply);
   void StartMembership();
-  /// Gives the registered VMs to membership as candidates.
-  void TellRegisteredVms();
+  /// Passes the registered VMs to membership as candidates.
+  void PassRegisteredVmsToMembership();
   void PublishView();
   asio::awaitable<void> Sleep(Duration aDuration);
 
@@ -71,16 +71,16 @@
   FleetSyncOptions options_;
   StoreApi store_;
   Metrics& metrics_;
-  Publish publish_;
+  ViewPublisher publishView_;
   FleetKeeper keeper_;
-  StoreFollowing following_;
+  StoreFollowing storeFollowing_;
   Random random_;
   DatagramSocket datagrams_;
   tcp::acceptor acceptor_;
   std::unique_ptr<Membership> membership_;
-  bool membershipStarted_ = false; ///< This VM takes part only once it can serve.
+  bool membershipStarted_ = false; ///< Membership starts only when this VM can serve.
   uint64_t publishedEpoch_ = 0;
-  bool viewChanged_ = false; ///< Since the view was published.
+  bool viewChanged_ = false; ///< Whether the view changed since it was last published.
   std::vector<Vm> registeredVms_;
   bool stopping_ = false;
 };
--- a/include/dragonflymoor/Gateway/LoadExchange.h
+++ b/include/dragonflymoor/Gateway/LoadExchange.h
@@ -9,47 +9,48 @@
 
 namespace dfm {
 
-/// Tells other VMs over UDP what this VM has in flight, and receives the same from them. VMs of the
-/// own region, with which the instances are shared, hear it more often. Belongs to the thread of
-/// its io_context.
+/// Exchanges load reports with other VMs over UDP: the number of requests that a VM has in flight
+/// at each instance. VMs of the own region, which share the instances, get reports more often. Must
+/// be used on the thread of its io_context.
 class LoadExchange
 {
 public:
-  using Received = std::function<void(const PeerEnvelope&)>;
+  using MessageHandler = std::function<void(const PeerEnvelope&)>;
 
-  LoadExchange(asio::io_context& aContext, Vm aSelf, Received aReceived);
+  LoadExchange(asio::io_context& aContext, Vm aSelf, MessageHandler aMessageHandler);
 
   /// Binds the socket and starts receiving. All VMs use the same port.
   error_code Open(const Endpoint& aListen);
-  void SetVms(const std::vector<Vm>& aVms);
-  /// Sends the load to the VMs that are due. To be called every 10 ms.
-  void OnTick(TimePoint aNow, const std::function<std::vector<InstanceLoad>()>& aLoads);
+  void SetReceivers(const std::vector<Vm>& aVms);
+  /// Sends load reports to the groups that are due. Calls aReadLoads at most once, and only if a
+  /// group is due. To be called every 10 ms.
+  void OnTick(TimePoint aNow, const std::function<std::vector<InstanceLoad>()>& aReadLoads);
   void SendToAll(const PeerMessage& aMessage);
 
 private:
-  /// VMs that hear the load equally often.
-  struct Group
+  /// VMs that get load reports at the same period.
+  struct ReceiverGroup
   {
-    Duration basePeriod{};        ///< Between two reports, with few receivers.
-    size_t fullRateReceivers = 1; ///< With more the period grows in proportion.
+    Duration basePeriod{};               ///< Time between two reports while the receivers are few.
+    size_t maxReceiversAtBasePeriod = 1; ///< With more, the period grows in proportion.
     std::vector<asio::ip::udp::endpoint> targets;
     Duration period{};
-    TimePoint nextAt;
-    TimePoint sentAt;
-    std::vector<InstanceLoad> sent;
+    TimePoint nextSendTime;
+    TimePoint lastSendTime;
+    std::vector<InstanceLoad> lastSentLoads;
   };
 
   asio::awaitable<void> Receive();
-  Group& GroupOf(const Vm& aVm);
-  void SendTo(Group& aGroup, TimePoint aNow, const std::vector<InstanceLoad>& aLoads);
+  ReceiverGroup& GroupFor(const Vm& aVm);
+  void SendLoads(ReceiverGroup& aGroup, TimePoint aNow, const std::vector<InstanceLoad>& aLoads);
 
   asio::ip::udp::socket socket_;
   Vm self_;
-  Received received_;
+  MessageHandler messageHandler_;
   uint16_t port_ = 0;
-  Group domain_; ///< VMs of the own failure domain.
-  Group region_; ///< Of the others in the own region.
-  Group away_;   ///< Of other regions.
+  ReceiverGroup sameDomainGroup_;   ///< VMs of the own failure domain.
+  ReceiverGroup sameRegionGroup_;   ///< VMs of the other failure domains of the own region.
+  ReceiverGroup otherRegionsGroup_; ///< VMs of other regions.
 };
 
 } // namespace dfm
--- a/lib/Gateway/FleetSync.cpp
+++ b/lib/Gateway/FleetSync.cpp
@@ -14,30 +14,31 @@
 
 constexpr std::string_view kComponent = "fleet";
 
-/// How long one watch waits. A connection that fell silent is noticed after it, so it must leave
-/// time to repeat the call within the bounds for configuration and drains.
+/// How long one watch waits for changes. A dead connection is detected only after this time, so it
+/// must leave time to repeat the call within the bounds for configuration and drains.
 constexpr Duration kWatchWait = 3s;
 
-/// Wait after the first call that failed; each further one doubles it.
+/// Wait after the first failed call. Each further failure doubles it.
 constexpr Duration kFirstRetryWait = 100ms;
 
-/// Longest wait between two tries to register this VM. Others reach it through the list of
-/// registered VMs only when membership has lost it.
-constexpr Duration kLongestRegisterWait = 800ms;
+/// Longest wait between two attempts to register this VM. Other VMs need the registration only when
+/// membership has lost this VM.
+constexpr Duration kMaxRegisterRetryWait = 800ms;
 
-/// How often another VM is asked for the state, by a VM that does not follow the store and while
-/// the store does not answer.
-constexpr Duration kAskPeriod = 200ms;
-constexpr Duration kAskTimeout = 500ms;
+/// Period at which this VM asks another VM for the state while it does not follow the store, or the
+/// store does not answer.
+constexpr Duration kPeerPollPeriod = 200ms;
+constexpr Duration kPeerRequestTimeout = 500ms;
 
-/// VMs that were registered are listed this often; changes are heard from the other VMs sooner.
+/// Period at which the registered VMs are listed. Membership reports changes sooner.
 constexpr Duration kListVmsPeriod = 10s;
 
-/// Period of the control thread's clock. Changes of the view within it are published together: each
-/// costs the traffic thread a pass over all instances.
+/// Period of the control thread's timer. Changes of the view within one period are published
+/// together, as each publication costs the traffic thread a pass over all instances.
 constexpr Duration kTickPeriod = 50ms;
 
-/// Probes of membership: a silent VM is suspected after one period and dead after five more.
+/// Period of membership's probes. A VM that does not answer is suspected after one period and
+/// declared dead after five more.
 constexpr Duration kProbePeriod = 200ms;
 
 FleetKeeperHooks
@@ -82,14 +83,14 @@
                      StoreApi aStore,
                      ObjectDecoders aDecoders,
                      Metrics& aMetrics,
-                     Publish aPublish)
+                     ViewPublisher aPublishView)
   : context_(aContext)
   , options_(std::move(aOptions))
   , store_(std::move(aStore))
   , metrics_(aMetrics)
-  , publish_(std::move(aPublish))
+  , publishView_(std::move(aPublishView))
   , keeper_(std::move(aDecoders), MakeKeeperHooks(aMetrics))
-  , following_(
+  , storeFollowing_(
       { .self = options_.self, .seeds = options_.seeds, .startedAt = ReadClocks().monotonic })
   , random_(options_.randomSeed)
   , datagrams_(
@@ -112,7 +113,7 @@
     MembershipHooks{
       .sendDatagram = [this](const Endpoint& aTo,
                              const DatagramMessage& aMessage) { datagrams_.Send(aTo, aMessage); },
-      // Whole member lists come from the store; updates travel with the probes.
+      // Complete member lists come from the store; updates are carried by the probes.
       .sendStream = [](const Vm&, const StreamMessage&) {},
       .memberChanged =
         [](const MemberUpdate& aUpdate) {
@@ -138,9 +139,9 @@
 FleetSync::Start()
 {
   for (size_t i = 0; i < kObjectKindCount; ++i)
-    asio::co_spawn(context_, FollowKind(static_cast<ObjectKind>(i)), asio::detached);
-  asio::co_spawn(context_, Register(), asio::detached);
-  asio::co_spawn(context_, AskPeers(), asio::detached);
+    asio::co_spawn(context_, FollowObjects(static_cast<ObjectKind>(i)), asio::detached);
+  asio::co_spawn(context_, RegisterAndListVms(), asio::detached);
+  asio::co_spawn(context_, PollPeers(), asio::detached);
   asio::co_spawn(context_, AcceptPeers(), asio::detached);
   asio::co_spawn(context_, Tick(), asio::detached);
 }
@@ -153,7 +154,7 @@
 }
 
 void
-FleetSync::OnStoreAnswer(ObjectKind aKind, const std::optional<StoreError>& aError)
+FleetSync::OnStoreCallEnd(ObjectKind aKind, const std::optional<StoreError>& aError)
 {
   if (aError) {
     metrics_.Count("store-calls-failed", Reason::StoreUnavailable);
@@ -162,64 +163,64 @@
         "store call failed",
         { { "kind", std::string(ToString(aKind)) }, { "error", aError->message } });
   }
-  if (following_.OnCall(aKind, !aError))
-    OnStoreReachable(following_.Reachable() ? "store regained" : "store lost");
+  if (storeFollowing_.OnCall(aKind, !aError))
+    ReportStoreReachable(storeFollowing_.Reachable() ? "store regained" : "store lost");
 }
 
 void
-FleetSync::OnStoreReachable(std::string_view aMessage)
+FleetSync::ReportStoreReachable(std::string_view aMessage)
 {
-  const bool reachable = following_.Reachable();
+  const bool reachable = storeFollowing_.Reachable();
   Log(LogLevel::Info, kComponent, aMessage);
   metrics_.SetGauge("store_reachable", reachable ? 1 : 0);
   keeper_.OnStoreReachable(ReadClocks().monotonic, reachable);
 }
 
 asio::awaitable<bool>
-FleetSync::ListKind(ObjectKind aKind)
+FleetSync::ListObjects(ObjectKind aKind)
 {
   const auto set = co_await store_.list(aKind);
   if (!set) {
-    OnStoreAnswer(aKind, set.error());
+    OnStoreCallEnd(aKind, set.error());
     co_return false;
   }
-  OnStoreAnswer(aKind, std::nullopt);
+  OnStoreCallEnd(aKind, std::nullopt);
   keeper_.OnSet(ReadClocks().monotonic, aKind, *set);
   viewChanged_ = true;
   co_return true;
 }
 
 asio::awaitable<void>
-FleetSync::FollowKind(ObjectKind aKind)
+FleetSync::FollowObjects(ObjectKind aKind)
 {
   Duration wait = kFirstRetryWait;
   bool listed = false;
-  while (keeper_.Set(aKind).revision == 0 && following_.WaitsForSeeds(ReadClocks().monotonic))
+  while (keeper_.Set(aKind).revision == 0 && storeFollowing_.WaitsForSeeds(ReadClocks().monotonic))
     co_await Sleep(kTickPeriod);
   for (;;) {
-    if (keeper_.Set(aKind).revision > 0 && following_.IsServed(ReadClocks().monotonic)) {
-      co_await Sleep(kAskPeriod);
+    if (keeper_.Set(aKind).revision > 0 && storeFollowing_.IsServed(ReadClocks().monotonic)) {
+      co_await Sleep(kPeerPollPeriod);
       continue;
     }
     if (!listed) {
-      listed = co_await ListKind(aKind);
+      listed = co_await ListObjects(aKind);
     } else {
       auto changes = co_await store_.watch(aKind, keeper_.Set(aKind).revision, kWatchWait);
       if (changes) {
-        OnStoreAnswer(aKind, std::nullopt);
+        OnStoreCallEnd(aKind, std::nullopt);
         keeper_.OnChanges(ReadClocks().monotonic, aKind, changes->revision, changes->changes);
         wait = kFirstRetryWait;
         if (!changes->changes.empty()) {
           viewChanged_ = true;
-          co_await Sleep(following_.PauseBetweenWatches());
+          co_await Sleep(storeFollowing_.PauseBetweenWatches());
         }
         continue;
       }
-      // A watch that was cut may have missed changes without a word: the list shows them.
+      // An interrupted watch may have missed changes without reporting it; a new list has them.
       listed = false;
       if (changes.error().kind == StoreError::Kind::HistoryGone)
         continue;
-      OnStoreAnswer(aKind, changes.error());
+      OnStoreCallEnd(aKind, changes.error());
       continue;
     }
     if (listed) {
@@ -227,22 +228,24 @@
       continue;
     }
     co_await Sleep(wait);
-    wait = std::min(2 * wait, following_.LongestRetryWait(ReadClocks().monotonic));
+    wait = std::min(2 * wait, storeFollowing_.LongestRetryWait(ReadClocks().monotonic));
   }
 }
 
 asio::awaitable<void>
-FleetSync::Register()
+FleetSync::RegisterAndListVms()
 {
   Duration wait = kFirstRetryWait;
   for (;;) {
     const auto registered = co_await store_.registerVm(options_.self);
     if (registered)
       break;
-    Log(
-      LogLevel::Warning, kComponent, "not registered", { { "error", registered.error().message } });
+    Log(LogLevel::Warning,
+        kComponent,
+        "registration of this vm failed",
+        { { "error", registered.error().message } });
     co_await Sleep(wait);
-    wait = std::min(2 * wait, kLongestRegisterWait);
+    wait = std::min(2 * wait, kMaxRegisterRetryWait);
   }
   while (!stopping_) {
     co_await ListVms();
@@ -255,32 +258,35 @@
 {
   auto vms = co_await store_.listVms();
   if (!vms) {
-    Log(LogLevel::Warning, kComponent, "vms not listed", { { "error", vms.error().message } });
+    Log(LogLevel::Warning,
+        kComponent,
+        "listing the registered vms failed",
+        { { "error", vms.error().message } });
     co_return;
   }
   registeredVms_ = std::move(*vms);
   if (membershipStarted_)
-    TellRegisteredVms();
+    PassRegisteredVmsToMembership();
 }
 
 asio::awaitable<void>
-FleetSync::AskPeers()
+FleetSync::PollPeers()
 {
   for (;;) {
-    const auto peers = following_.PeersToAsk(ReadClocks().monotonic, registeredVms_);
+    const auto peers = storeFollowing_.PeersToAsk(ReadClocks().monotonic, registeredVms_);
     if (!peers.empty())
-      co_await AskPeer(peers[random_.Below(peers.size())]);
-    co_await Sleep(kAskPeriod);
+      co_await RequestState(peers[random_.Below(peers.size())]);
+    co_await Sleep(kPeerPollPeriod);
   }
 }
 
 asio::awaitable<void>
-FleetSync::AskPeer(Endpoint aPeer)
+FleetSync::RequestState(Endpoint aPeer)
 {
   tcp::socket socket(context_);
-  asio::steady_timer timer(context_, kAskTimeout);
+  asio::steady_timer timer(context_, kPeerRequestTimeout);
   timer.async_wait([&socket](error_code aError) {
-    error_code ignored; // The socket is given up in any case.
+    error_code ignored; // The socket is dropped in any case.
     if (!aError)
       socket.close(ignored);
   });
@@ -292,7 +298,7 @@
     metrics_.Count("peer-state-requests-failed", Reason::PeerUnreachable);
     co_return;
   }
-  const auto done = std::make_shared<asio::steady_timer>(context_, kAskTimeout);
+  const auto done = std::make_shared<asio::steady_timer>(context_, kPeerRequestTimeout);
   auto connection = std::make_shared<FrameConnection>(
     std::move(socket),
     FrameConnection::Hooks{
@@ -301,7 +307,7 @@
         if (!envelope)
           return tl::unexpected(envelope.error());
         if (const auto* reply = std::get_if<StateReply>(&envelope->message))
-          OnState(envelope->sender, *reply);
+          OnStateReply(envelope->sender, *reply);
         done->cancel();
         return {};
       },
@@ -328,34 +334,35 @@
       co_await Sleep(kFirstRetryWait);
       continue;
     }
-    // The connection refers to itself through its hooks until it closes.
-    const auto holder = std::make_shared<std::shared_ptr<FrameConnection>>();
-    *holder = std::make_shared<FrameConnection>(
+    // The connection's hooks hold a reference to the connection until it closes.
+    const auto connectionHolder = std::make_shared<std::shared_ptr<FrameConnection>>();
+    *connectionHolder = std::make_shared<FrameConnection>(
       std::move(socket),
       FrameConnection::Hooks{
-        .payload = [this, holder](const std::string& aPayload) -> tl::expected<void, CodecError> {
+        .payload =
+          [this, connectionHolder](const std::string& aPayload) -> tl::expected<void, CodecError> {
           const auto envelope = DecodePeer(aPayload);
           if (!envelope)
             return tl::unexpected(envelope.error());
           const auto* request = std::get_if<StateRequest>(&envelope->message);
           if (request == nullptr)
             return tl::unexpected(CodecError{ "message: not a request" });
-          const auto connection = *holder;
+          const auto connection = *connectionHolder;
           if (connection != nullptr)
-            connection->Send({ .payload = EncodePeer(options_.self.id, ReplyTo(*request)) });
+            connection->Send({ .payload = EncodePeer(options_.self.id, MakeStateReply(*request)) });
           return {};
         },
-        .closed = [holder](const std::string&) { holder->reset(); },
+        .closed = [connectionHolder](const std::string&) { connectionHolder->reset(); },
       });
-    (*holder)->Start();
+    (*connectionHolder)->Start();
   }
 }
 
 StateReply
-FleetSync::ReplyTo(const StateRequest& aRequest) const
+FleetSync::MakeStateReply(const StateRequest& aRequest) const
 {
   const TimePoint now = ReadClocks().monotonic;
-  const bool vouches = following_.Vouches(now);
+  const bool vouches = storeFollowing_.Vouches(now);
   StateReply reply{ .storeSteady = vouches && keeper_.IsStoreSteady(now),
                     .storeReachable = vouches };
   for (size_t i = 0; i < kObjectKindCount; ++i) {
@@ -381,12 +388,12 @@
 }
 
 void
-FleetSync::OnState(const VmId& aFrom, const StateReply& aReply)
+FleetSync::OnStateReply(const VmId& aFrom, const StateReply& aReply)
 {
   const TimePoint now = ReadClocks().monotonic;
   keeper_.OnStoreElsewhere(now, aReply.storeSteady);
-  if (aReply.storeReachable && following_.OnVouched(now))
-    OnStoreReachable("store reached through another vm");
+  if (aReply.storeReachable && storeFollowing_.OnVouched(now))
+    ReportStoreReachable("store reached through another vm");
   for (const StateReply::Kind& kind : aReply.kinds) {
     if (kind.whole) {
       keeper_.OnSet(now, kind.kind, kind.set);
@@ -411,7 +418,7 @@
 }
 
 void
-FleetSync::TellRegisteredVms()
+FleetSync::PassRegisteredVmsToMembership()
 {
   std::vector<PlatformVm> list;
   for (const Vm& vm : registeredVms_)
@@ -425,7 +432,7 @@
   membershipStarted_ = true;
   membership_->Start(ReadClocks());
   if (!registeredVms_.empty())
-    TellRegisteredVms();
+    PassRegisteredVmsToMembership();
 }
 
 void
@@ -436,7 +443,7 @@
   auto view = std::make_shared<FleetView>(keeper_.View());
   if (membershipStarted_) {
     view->usableVms = membership_->LiveNotLeaving();
-    following_.OnMembers(ReadClocks().monotonic, view->usableVms);
+    storeFollowing_.OnMembers(ReadClocks().monotonic, view->usableVms);
     for (const MemberUpdate& member : membership_->Members()) {
       if (member.state != MemberState::Left)
         view->knownVms.push_back(member.vm);
@@ -445,7 +452,7 @@
   }
   view->knownVms.push_back(options_.self);
   viewChanged_ = false;
-  publish_(std::move(view));
+  publishView_(std::move(view));
 }
 
 asio::awaitable<void>
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -181,7 +181,7 @@
   view = std::move(aView);
   const TimePoint now = ReadClocks().monotonic;
   front.SetView(view);
-  loads.SetVms(view->usableVms);
+  loads.SetReceivers(view->usableVms);
   std::set<BackendId> known;
   for (const Instance& instance : view->instances)
     known.insert(instance.id);
--- a/lib/Gateway/LoadExchange.cpp
+++ b/lib/Gateway/LoadExchange.cpp
@@ -11,40 +11,44 @@
 
 namespace {
 
-/// How often the load goes to VMs of the own region: a third of the time that the shortest requests
-/// take, so that most slots that become free are seen in time.
-constexpr Duration kRegionPeriod = 25ms;
+/// Period of load reports to VMs of the own region: a third of the duration of the shortest
+/// requests, so that most slots that become free are seen in time.
+constexpr Duration kSameRegionPeriod = 25ms;
 
-/// How often the load goes to VMs of other regions, which only compare regions.
-constexpr Duration kAwayPeriod = 100ms;
+/// Period of load reports to VMs of other regions, which only compare regions.
+constexpr Duration kOtherRegionsPeriod = 100ms;
 
-/// Up to this many receivers the periods hold; with more they grow in proportion, so that the bytes
-/// sent by one VM stay the same. Bytes between failure domains of a region are priced, and most
-/// requests stay in one, so that the others may hear of them later.
+/// The base periods hold up to this many receivers. With more, the periods grow in proportion, so
+/// that one VM sends the same number of bytes. Bytes between failure domains of a region are
+/// priced, and most requests stay in one failure domain, so the other domains may get reports
+/// later.
 constexpr size_t kDomainReceivers = 6;
 constexpr size_t kRegionReceivers = 2;
-constexpr size_t kAwayReceivers = 6;
+constexpr size_t kOtherRegionsReceivers = 6;
 
-/// Life of a report in periods: two lost ones in a row do not end it. At least the other value,
-/// which leaves time for the repetition of an unchanged load.
-constexpr int kLifePeriods = 3;
-constexpr Duration kShortestLife = 1s;
+/// How long a report is valid, in periods, so that two lost reports in a row do not expire it. It
+/// is at least kMinReportLife, which leaves time for the repetition of an unchanged load.
+constexpr int kReportLifePeriods = 3;
+constexpr Duration kMinReportLife = 1s;
 
-/// A load that did not change is repeated after this time: datagrams get lost, and receivers forget
-/// a load after a second.
+/// An unchanged load is sent again after this time, as datagrams get lost and receivers discard a
+/// load after 1 s.
 constexpr Duration kRepeatPeriod = 300ms;
 
-constexpr size_t kMaxDatagram = 64UL * 1024;
+constexpr size_t kMaxDatagramBytes = 64UL * 1024;
 
 } // namespace
 
-LoadExchange::LoadExchange(asio::io_context& aContext, Vm aSelf, Received aReceived)
+LoadExchange::LoadExchange(asio::io_context& aContext, Vm aSelf, MessageHandler aMessageHandler)
   : socket_(aContext)
   , self_(std::move(aSelf))
-  , received_(std::move(aReceived))
-  , domain_{ .basePeriod = kRegionPeriod, .fullRateReceivers = kDomainReceivers }
-  , region_{ .basePeriod = kRegionPeriod, .fullRateReceivers = kRegionReceivers }
-  , away_{ .basePeriod = kAwayPeriod, .fullRateReceivers = kAwayReceivers }
+  , messageHandler_(std::move(aMessageHandler))
+  , sameDomainGroup_{ .basePeriod = kSameRegionPeriod,
+                      .maxReceiversAtBasePeriod = kDomainReceivers }
+  , sameRegionGroup_{ .basePeriod = kSameRegionPeriod,
+                      .maxReceiversAtBasePeriod = kRegionReceivers }
+  , otherRegionsGroup_{ .basePeriod = kOtherRegionsPeriod,
+                        .maxReceiversAtBasePeriod = kOtherRegionsReceivers }
 {
 }
 
@@ -58,55 +62,58 @@
   return error;
 }
 
-LoadExchange::Group&
-LoadExchange::GroupOf(const Vm& aVm)
+LoadExchange::ReceiverGroup&
+LoadExchange::GroupFor(const Vm& aVm)
 {
   if (aVm.region != self_.region)
-    return away_;
-  return aVm.failureDomain == self_.failureDomain ? domain_ : region_;
+    return otherRegionsGroup_;
+  return aVm.failureDomain == self_.failureDomain ? sameDomainGroup_ : sameRegionGroup_;
 }
 
 void
-LoadExchange::SetVms(const std::vector<Vm>& aVms)
+LoadExchange::SetReceivers(const std::vector<Vm>& aVms)
 {
-  for (Group* group : { &domain_, &region_, &away_ })
+  for (ReceiverGroup* group : { &sameDomainGroup_, &sameRegionGroup_, &otherRegionsGroup_ })
     group->targets.clear();
   for (const Vm& vm : aVms) {
     if (vm.id != self_.id)
-      GroupOf(vm).targets.emplace_back(ToAddress(vm.peers), port_);
+      GroupFor(vm).targets.emplace_back(ToAddress(vm.peers), port_);
   }
-  for (Group* group : { &domain_, &region_, &away_ }) {
-    const size_t receivers = std::max(group->targets.size(), group->fullRateReceivers);
-    group->period = group->basePeriod * receivers / group->fullRateReceivers;
+  for (ReceiverGroup* group : { &sameDomainGroup_, &sameRegionGroup_, &otherRegionsGroup_ }) {
+    const size_t receiverCount = std::max(group->targets.size(), group->maxReceiversAtBasePeriod);
+    group->period = group->basePeriod * receiverCount / group->maxReceiversAtBasePeriod;
   }
 }
 
 void
-LoadExchange::OnTick(TimePoint aNow, const std::function<std::vector<InstanceLoad>()>& aLoads)
+LoadExchange::OnTick(TimePoint aNow, const std::function<std::vector<InstanceLoad>()>& aReadLoads)
 {
   std::optional<std::vector<InstanceLoad>> loads;
-  for (Group* group : { &domain_, &region_, &away_ }) {
-    if (aNow < group->nextAt || group->targets.empty())
+  for (ReceiverGroup* group : { &sameDomainGroup_, &sameRegionGroup_, &otherRegionsGroup_ }) {
+    if (aNow < group->nextSendTime || group->targets.empty())
       continue;
     if (!loads)
-      loads = aLoads();
-    SendTo(*group, aNow, *loads);
+      loads = aReadLoads();
+    SendLoads(*group, aNow, *loads);
   }
 }
 
 void
-LoadExchange::SendTo(Group& aGroup, TimePoint aNow, const std::vector<InstanceLoad>& aLoads)
+LoadExchange::SendLoads(ReceiverGroup& aGroup,
+                        TimePoint aNow,
+                        const std::vector<InstanceLoad>& aLoads)
 {
-  aGroup.nextAt = aNow + aGroup.period;
-  const bool unchanged = aLoads == aGroup.sent;
-  if (unchanged && (aLoads.empty() || aNow - aGroup.sentAt < kRepeatPeriod))
+  aGroup.nextSendTime = aNow + aGroup.period;
+  const bool unchanged = aLoads == aGroup.lastSentLoads;
+  if (unchanged && (aLoads.empty() || aNow - aGroup.lastSendTime < kRepeatPeriod))
     return;
-  aGroup.sent = aLoads;
-  aGroup.sentAt = aNow;
-  const std::string bytes = EncodePeer(
-    self_.id,
-    PeerLoad{ .loads = aLoads, .life = std::max(kShortestLife, kLifePeriods * aGroup.period) });
-  error_code ignored; // A lost report is repeated soon.
+  aGroup.lastSentLoads = aLoads;
+  aGroup.lastSendTime = aNow;
+  const std::string bytes =
+    EncodePeer(self_.id,
+               PeerLoad{ .loads = aLoads,
+                         .life = std::max(kMinReportLife, kReportLifePeriods * aGroup.period) });
+  error_code ignored; // The next report replaces a lost one.
   for (const auto& target : aGroup.targets)
     socket_.send_to(asio::buffer(bytes), target, 0, ignored);
 }
@@ -115,7 +122,7 @@
 LoadExchange::SendToAll(const PeerMessage& aMessage)
 {
   const std::string bytes = EncodePeer(self_.id, aMessage);
-  for (const Group* group : { &domain_, &region_, &away_ }) {
+  for (const ReceiverGroup* group : { &sameDomainGroup_, &sameRegionGroup_, &otherRegionsGroup_ }) {
     for (const auto& target : group->targets) {
       error_code error;
       socket_.send_to(asio::buffer(bytes), target, 0, error);
@@ -128,19 +135,19 @@
 asio::awaitable<void>
 LoadExchange::Receive()
 {
-  std::vector<char> bytes(kMaxDatagram);
+  std::vector<char> bytes(kMaxDatagramBytes);
   asio::ip::udp::endpoint sender;
   for (;;) {
     auto [error, count] =
       co_await socket_.async_receive_from(asio::buffer(bytes), sender, kAwaitTuple);
     if (error == asio::error::operation_aborted)
       co_return;
-    // An unreachable receiver of an earlier datagram is reported here.
+    // The error concerns a datagram sent earlier, to a receiver that is unreachable.
     if (error)
       continue;
     const auto message = DecodePeer({ bytes.data(), count });
     if (message)
-      received_(*message);
+      messageHandler_(*message);
     else
       Log(
         LogLevel::Warning, "peers", "malformed datagram", { { "error", message.error().message } });
