--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -135,10 +135,10 @@
 Gateway::Impl::MakeDispatcherHooks()
 {
   return {
-    .startAttempt = [this](const InstanceAttempt& aAttempt) { front.Start(aAttempt); },
+    .startAttempt = [this](const InstanceAttempt& aAttempt) { front.StartAttempt(aAttempt); },
     .refuseRequest = [this](Ticket aTicket,
-                            const RequestRefusal& aRefusal) { front.Refuse(aTicket, aRefusal); },
-    .abandonAttempt = [this](Ticket aTicket) { front.Abandon(aTicket); },
+                     const RequestRefusal& aRefusal) { front.RefuseRequest(aTicket, aRefusal); },
+    .abandonAttempt = [this](Ticket aTicket) { front.AbandonAttempt(aTicket); },
     .sendProbe =
       [this](const Instance& aInstance, const ServiceSpec& aSpec) {
         asio::co_spawn(traffic, Probe(aInstance, aSpec.healthPath), asio::detached);
@@ -181,11 +181,11 @@
   view = std::move(aView);
   const TimePoint now = ReadClocks().monotonic;
   front.SetView(view);
-  loads.SetVms(view->usableVms);
+  loads.SetReceivers(view->usableVms);
   std::set<BackendId> known;
   for (const Instance& instance : view->instances)
     known.insert(instance.id);
-  instances.KeepOnly(known);
+  instances.KeepOnlyConnectionsTo(known);
   dispatcher.OnFleet(now, view);
 }
 
@@ -205,7 +205,7 @@
 Gateway::Impl::DirectoryPage(std::string_view aTarget)
 {
   metrics.Count("directory-questions");
-  const auto query = options.platform.protocol.readQuery(aTarget);
+  const auto query = options.platform.protocol.parseDirectoryQuery(aTarget);
   if (!query)
     return MakePage(http::status::not_found, "text/plain", "not a question\n");
   const auto vms = ResolveVms(*view, *query, kMaxDirectoryAnswers, random);
@@ -213,7 +213,7 @@
     return MakePage(http::status::service_unavailable, "text/plain", "no vm is known\n");
   return MakePage(http::status::ok,
                   "application/json",
-                  options.platform.protocol.writeDirectoryAnswer(vms, settings.directoryTtl));
+                  options.platform.protocol.formatDirectoryAnswer(vms, settings.directoryTtl));
 }
 
 Page
@@ -254,14 +254,14 @@
 asio::awaitable<void>
 Gateway::Impl::Probe(Instance aInstance, std::string aHealthPath)
 {
-  const HealthResult health = co_await instances.Probe(aInstance, aHealthPath);
+  const HealthResult health = co_await instances.CheckHealth(aInstance, aHealthPath);
   Log(LogLevel::Info,
       kComponent,
       "health check",
       { { "instance", aInstance.id.Value() },
         { "result", std::to_string(static_cast<int>(health.result)) },
-        { "cold_left_ms", std::to_string(health.coldLeft.count() / 1000) } });
-  dispatcher.OnProbe(ReadClocks().monotonic, aInstance.id, health.result, health.coldLeft);
+        { "cold_left_ms", std::to_string(health.remainingColdTime.count() / 1000) } });
+  dispatcher.OnProbe(ReadClocks().monotonic, aInstance.id, health.result, health.remainingColdTime);
 }
 
 asio::awaitable<void>
@@ -314,7 +314,7 @@
 void
 Gateway::Impl::Reload(std::string_view aCause)
 {
-  const auto fresh = options.reload();
+  const auto fresh = options.readSettings();
   if (!fresh) {
     Log(LogLevel::Error,
         kComponent,
@@ -341,7 +341,7 @@
   Log(LogLevel::Info,
       kComponent,
       "graceful stop begins",
-      { { "unanswered", std::to_string(front.Unanswered()) } });
+      { { "unanswered", std::to_string(front.UnansweredRequestCount()) } });
   front.BeginStop();
   asio::post(control, [this] { fleet.BeginStop(); });
 }
@@ -352,19 +352,19 @@
   const Duration since = aNow - *stopBegan;
   if (since >= kStopIdleAfter && !idleClosed) {
     idleClosed = true;
-    front.CloseIdle();
+    front.CloseIdleConnections();
   }
   if (since < kStopAcceptingAfter)
     return false;
   error_code ignored; // The socket is given up in any case.
   callers.close(ignored);
-  front.CloseIdle();
-  if (front.Unanswered() > 0 && since < settings.stopTime - kStopMargin)
+  front.CloseIdleConnections();
+  if (front.UnansweredRequestCount() > 0 && since < settings.stopTime - kStopMargin)
     return false;
   Log(LogLevel::Info,
       kComponent,
       "graceful stop has ended",
-      { { "unanswered", std::to_string(front.Unanswered()) } });
+      { { "unanswered", std::to_string(front.UnansweredRequestCount()) } });
   asio::post(control, [this] {
     fleet.Leave();
     control.stop();
