--- a/include/dragonflymoor/Membership/Membership.h
+++ b/include/dragonflymoor/Membership/Membership.h
@@ -55,7 +55,7 @@
   /// (then with state Left). Never called for this VM itself.
   std::function<void(const MemberUpdate&)> memberChanged;
   /// A peer acknowledged a probe that was sent at the given time (for PauseDetector::OnAck).
-  std::function<void(TimePoint)> acked;
+  std::function<void(TimePoint)> probeAcknowledged;
 };
 
 /// What this VM knows of a run of another VM's process.
@@ -97,20 +97,20 @@
   /// All known members but this VM, in order of id, in any state.
   std::vector<MemberUpdate> Members() const;
   /// VMs that count as live (alive or suspect), this VM included, in order of id.
-  std::vector<MemberUpdate> Live() const;
-  /// Live() without leaving VMs.
+  std::vector<MemberUpdate> LiveMembers() const;
+  /// LiveMembers() without leaving VMs.
   std::vector<Vm> LiveNotLeaving() const;
   const MemberUpdate* Find(const VmId& aVm) const;
   InstanceState StateOf(const VmInstance& aInstance) const;
   /// Send time of the latest probe that any peer acknowledged; empty before the first.
-  std::optional<TimePoint> LastAck() const { return lastAck_; }
+  std::optional<TimePoint> LastAckedProbeSentAt() const { return lastAckedProbeSentAt_; }
   /// Smallest roster version that is in force on every VM of the roster, dead ones included, by
   /// what they last said; 0 while one of them has not been heard.
   ListVersion ConfirmedRosterVersion(const std::vector<Vm>& aRoster) const;
   /// Regions other than the own one, nearest first by measured round trip; unmeasured ones last, by
   /// name.
   std::vector<RegionId> RegionsByLatency() const;
-  /// Changes whenever Live() or LiveNotLeaving() changes.
+  /// Changes whenever LiveMembers() or LiveNotLeaving() changes.
   uint64_t Epoch() const { return epoch_; }
 
 private:
@@ -195,7 +195,7 @@
   TimePoint nextSync_;
   TimePoint nextSeedProbe_;
   bool synced_ = false; ///< A member list has arrived from a peer.
-  std::optional<TimePoint> lastAck_;
+  std::optional<TimePoint> lastAckedProbeSentAt_;
   std::map<RegionId, double> roundTripSeconds_;
   uint64_t epoch_ = 0;
 };
--- a/include/dragonflymoor/Recovery/CrashRegistry.h
+++ b/include/dragonflymoor/Recovery/CrashRegistry.h
@@ -16,7 +16,7 @@
 struct CrashRegistryOptions
 {
   uint32_t crashesToBlock = 2;
-  Duration blockTime = 10min; ///< Also how long a single crash is remembered.
+  Duration blockDuration = 10min; ///< Also how long a single crash is remembered.
   size_t maxBlockedPerWorkspace = 64;
   size_t maxSuspectsPerWorkspace = 256; ///< Fingerprints with fewer crashes that are remembered.
   size_t maxWorkspaces = 1'000;         ///< The workspace without a crash for longest goes first.
--- a/include/dragonflymoor/Recovery/RetryBudget.h
+++ b/include/dragonflymoor/Recovery/RetryBudget.h
@@ -8,8 +8,8 @@
 
 struct RetryBudgetOptions
 {
-  double perRequest = 0.1; ///< Additional attempts earned by each request.
-  double burst = 10;       ///< Most additional attempts that can be saved up.
+  double earnedPerRequest = 0.1; ///< Additional attempts earned by each request.
+  double burst = 10;             ///< Most additional attempts that can be saved up.
 };
 
 /// Bounds the additional attempts of each service on one VM, so that retries cannot multiply an
@@ -24,7 +24,7 @@
   /// Counts a request that entered this VM; not its retries.
   void OnRequest(const ServiceId& aService);
   /// Takes one additional attempt; false when the budget is used up.
-  [[nodiscard]] bool TryTake(const ServiceId& aService);
+  [[nodiscard]] bool TryTakeAttempt(const ServiceId& aService);
   /// Additional attempts left.
   double Left(const ServiceId& aService) const;
 
--- a/include/dragonflymoor/Recovery/RetryPolicy.h
+++ b/include/dragonflymoor/Recovery/RetryPolicy.h
@@ -25,12 +25,12 @@
   ServiceId service;
   bool idempotent = true;
   TimePoint deadline;
-  Duration expectedTime{};  ///< Usual time of one attempt, with the way to the server.
-  uint32_t freeTries = 0;   ///< Free further tries so far.
-  uint32_t budgetTries = 0; ///< Further tries from the budget so far.
-  bool otherServer = false; ///< A server that the request has not tried can take it.
-  bool blocked = false;     ///< CrashRegistry blocks the fingerprint.
-  bool mayHaveRun = false;  ///< An earlier attempt may have run.
+  Duration expectedTime{};           ///< Usual time of one attempt, with the way to the server.
+  uint32_t freeTries = 0;            ///< Free further tries so far.
+  uint32_t budgetTries = 0;          ///< Further tries from the budget so far.
+  bool otherServerAvailable = false; ///< A server that the request has not tried can take it.
+  bool fingerprintBlocked = false;   ///< CrashRegistry blocks the fingerprint.
+  bool mayHaveRun = false;           ///< An earlier attempt may have run.
 
   auto operator<=>(const RetryFacts&) const = default;
 };
@@ -67,20 +67,20 @@
 public:
   RetryPolicy(RetryPolicyOptions aOptions, RetryBudget& aBudget);
 
-  RetryDecision Decide(TimePoint aNow, AttemptEnd aEnd, const RetryFacts& aFacts);
+  RetryDecision DecideAfterAttempt(TimePoint aNow, AttemptEnd aEnd, const RetryFacts& aFacts);
 
   /// The same for a pool owner that answered a forward. Its answers NotOwner, RegionBusy,
   /// ServerShed and the like with outcome NotRun allow a free try elsewhere.
-  RetryDecision DecideForward(TimePoint aNow,
-                              Outcome aOutcome,
-                              Reason aReason,
-                              const RetryFacts& aFacts);
+  RetryDecision DecideAfterForward(TimePoint aNow,
+                                   Outcome aOutcome,
+                                   Reason aReason,
+                                   const RetryFacts& aFacts);
 
 private:
-  RetryDecision DecideFailed(TimePoint aNow,
-                             bool aCertainlyNotRun,
-                             Reason aReason,
-                             const RetryFacts& aFacts);
+  RetryDecision DecideAfterFailure(TimePoint aNow,
+                                   bool aCertainlyNotRun,
+                                   Reason aReason,
+                                   const RetryFacts& aFacts);
 
   RetryPolicyOptions options_;
   RetryBudget& budget_;
--- a/lib/Engine/Engine.cpp
+++ b/lib/Engine/Engine.cpp
@@ -81,7 +81,7 @@
   if (inputs.vms.empty())
     inputs.vms = fleet.UsableVms(aNow.wall);
   const std::set<VmId> leaving = fleet.LeavingVms(aNow.wall);
-  for (const MemberUpdate& member : fleet.Members().Live()) {
+  for (const MemberUpdate& member : fleet.Members().LiveMembers()) {
     if (leaving.contains(member.vm.id))
       inputs.leavingVms.push_back(member.vm);
   }
--- a/lib/Engine/FleetControl.cpp
+++ b/lib/Engine/FleetControl.cpp
@@ -55,7 +55,7 @@
            .sendStream = context_.hooks.sendStream,
            .memberChanged =
              [this](const MemberUpdate& aMember) { changedMembers_.push_back(aMember); },
-           .acked = [this](TimePoint aSentAt) { pauses_.OnAck(aSentAt); } };
+           .probeAcknowledged = [this](TimePoint aSentAt) { pauses_.OnAck(aSentAt); } };
 }
 
 ListKeeperHooks
@@ -157,7 +157,7 @@
 void
 FleetControl::CheckJoined(Now aNow)
 {
-  const Duration wait = membership_.LastAck() ? kJoinTime : kJoinAloneTime;
+  const Duration wait = membership_.LastAckedProbeSentAt() ? kJoinTime : kJoinAloneTime;
   if (joined_ || aNow.monotonic - startedAt_ < wait)
     return;
   joined_ = true;
@@ -272,7 +272,7 @@
     return;
   epoch_ = membership_.Epoch();
   std::vector<Vm> peers;
-  for (const MemberUpdate& member : membership_.Live())
+  for (const MemberUpdate& member : membership_.LiveMembers())
     peers.push_back(member.vm);
   shares_.SetPeers(peers);
   writesRoster_ = HasTopWeightForRoster();
--- a/lib/Engine/RequestFlow.cpp
+++ b/lib/Engine/RequestFlow.cpp
@@ -157,7 +157,7 @@
   // A starting VM must not run a request that has crashed servers before. A few VMs tell it.
   const uint64_t own = RendezvousWeight(aVm.id.Value(), context_.Self().id.Value());
   size_t better = 0;
-  for (const MemberUpdate& member : fleet_.Members().Live()) {
+  for (const MemberUpdate& member : fleet_.Members().LiveMembers()) {
     const bool candidate = member.vm.id != aVm.id && member.vm.id != context_.Self().id;
     if (candidate && RendezvousWeight(aVm.id.Value(), member.vm.id.Value()) > own)
       ++better;
@@ -543,10 +543,12 @@
   const bool abandoned = flow->callerGone && !flow->carrier;
   RetryFacts facts = FactsOf(*flow);
   const bool samePool = pools_.HasServer(ended->pool, flow->triedServers);
-  facts.otherServer =
+  facts.otherServerAvailable =
     !abandoned && (samePool || (!flow->head.forwardedBy && targets_.Choose(aNow, QueryOf(*flow))));
-  facts.blocked = crashes_.IsBlocked(aNow.monotonic, flow->head.workspace, flow->head.fingerprint);
-  const RetryDecision decision = retryPolicy_.Decide(aNow.monotonic, aResult.end, facts);
+  facts.fingerprintBlocked =
+    crashes_.IsBlocked(aNow.monotonic, flow->head.workspace, flow->head.fingerprint);
+  const RetryDecision decision =
+    retryPolicy_.DecideAfterAttempt(aNow.monotonic, aResult.end, facts);
   flow->mayHaveRun |= !CertainlyNotRun(aResult.end);
   if (decision.action == RetryAction::Accept) {
     Reply reply{ .outcome = Outcome::Answered,
@@ -609,9 +611,10 @@
     pools_.NoteRemoteRefusal(aNow, flow->pool);
   flow->triedPools.insert(flow->pool);
   RetryFacts facts = FactsOf(*flow);
-  facts.otherServer = !flow->callerGone && targets_.Choose(aNow, QueryOf(*flow)).has_value();
+  facts.otherServerAvailable =
+    !flow->callerGone && targets_.Choose(aNow, QueryOf(*flow)).has_value();
   const RetryDecision decision =
-    retryPolicy_.DecideForward(aNow.monotonic, aReply.outcome, aReply.reason, facts);
+    retryPolicy_.DecideAfterForward(aNow.monotonic, aReply.outcome, aReply.reason, facts);
   flow->mayHaveRun |= aReply.outcome == Outcome::Unknown;
   if (decision.action == RetryAction::Accept)
     return Finish(aNow, *flow, reply, aReply.content.size());
@@ -833,7 +836,7 @@
 RequestFlow::BroadcastCrash(const CrashReport& aReport)
 {
   context_.hooks.count("crashes", Reason::ServerCrashed);
-  for (const MemberUpdate& member : fleet_.Members().Live()) {
+  for (const MemberUpdate& member : fleet_.Members().LiveMembers()) {
     if (member.vm.id != context_.Self().id)
       context_.hooks.sendStream(member.vm, aReport);
   }
--- a/lib/Gateway/FleetSync.cpp
+++ b/lib/Gateway/FleetSync.cpp
@@ -123,7 +123,7 @@
                 { "state", std::to_string(static_cast<int>(aUpdate.state)) },
                 { "leaving", aUpdate.leaving ? "1" : "0" } });
         },
-      .acked = [](TimePoint) {},
+      .probeAcknowledged = [](TimePoint) {},
     });
 }
 
--- a/lib/Membership/Membership.cpp
+++ b/lib/Membership/Membership.cpp
@@ -79,8 +79,8 @@
   , hooks_(std::move(aHooks))
   , random_(options_.randomSeed)
 {
-  assert(hooks_.sendDatagram && hooks_.sendStream && hooks_.memberChanged && hooks_.acked &&
-         "hook is not set");
+  assert(hooks_.sendDatagram && hooks_.sendStream && hooks_.memberChanged &&
+         hooks_.probeAcknowledged && "hook is not set");
   assert(options_.ackTimeout < options_.probePeriod && "acknowledgement timeout above the period");
   self_.vm = options_.self;
   self_.incarnation = options_.incarnation;
@@ -517,8 +517,8 @@
     return;
   const Outstanding probe = entry->second;
   outstanding_.erase(entry);
-  lastAck_ = std::max(lastAck_.value_or(probe.sentAt), probe.sentAt);
-  hooks_.acked(probe.sentAt);
+  lastAckedProbeSentAt_ = std::max(lastAckedProbeSentAt_.value_or(probe.sentAt), probe.sentAt);
+  hooks_.probeAcknowledged(probe.sentAt);
   if (aAck.updates.empty())
     return;
   const Vm& sender = aAck.updates.front().vm;
@@ -627,7 +627,7 @@
 }
 
 std::vector<MemberUpdate>
-Membership::Live() const
+Membership::LiveMembers() const
 {
   std::vector<MemberUpdate> live;
   live.reserve(liveCount_ + 1);
@@ -648,7 +648,7 @@
 Membership::LiveNotLeaving() const
 {
   std::vector<Vm> vms;
-  for (const MemberUpdate& update : Live()) {
+  for (const MemberUpdate& update : LiveMembers()) {
     if (!update.leaving)
       vms.push_back(update.vm);
   }
--- a/lib/Recovery/CrashRegistry.cpp
+++ b/lib/Recovery/CrashRegistry.cpp
@@ -38,7 +38,7 @@
 {
   if (!RememberReport(aReport.reportId))
     return false;
-  if (aReport.age < options_.blockTime)
+  if (aReport.age < options_.blockDuration)
     Count(aNow, aReport);
   return true;
 }
@@ -63,7 +63,7 @@
   for (const Entry& entry : aEntries) {
     for (const Crash& crash : entry.crashes) {
       const Duration age = aNow - crash.at;
-      if (age < options_.blockTime)
+      if (age < options_.blockDuration)
         aReports.push_back({ .reportId = crash.reportId,
                              .workspace = aWorkspace,
                              .fingerprint = entry.fingerprint,
@@ -125,7 +125,7 @@
       workspace.suspects.pop_front();
     return;
   }
-  entry.blockedUntil = entry.lastCrash + options_.blockTime;
+  entry.blockedUntil = entry.lastCrash + options_.blockDuration;
   workspace.blocked.push_back(entry);
   if (workspace.blocked.size() > options_.maxBlockedPerWorkspace)
     workspace.blocked.pop_front();
@@ -136,8 +136,9 @@
 {
   std::erase_if(aWorkspace.blocked,
                 [&](const Entry& aEntry) { return aNow >= aEntry.blockedUntil; });
-  std::erase_if(aWorkspace.suspects,
-                [&](const Entry& aEntry) { return aNow >= aEntry.lastCrash + options_.blockTime; });
+  std::erase_if(aWorkspace.suspects, [&](const Entry& aEntry) {
+    return aNow >= aEntry.lastCrash + options_.blockDuration;
+  });
 }
 
 bool
--- a/lib/Recovery/HedgePolicy.cpp
+++ b/lib/Recovery/HedgePolicy.cpp
@@ -101,7 +101,7 @@
   const auto attempt = hooks_.startSecond(aRequest);
   if (!attempt)
     return;
-  const bool taken = budget_.TryTake(race.pool.service);
+  const bool taken = budget_.TryTakeAttempt(race.pool.service);
   assert(taken && "budget changed within one decision");
   (void)taken;
   race.hedged = true;
--- a/lib/Recovery/RetryBudget.cpp
+++ b/lib/Recovery/RetryBudget.cpp
@@ -21,11 +21,11 @@
 RetryBudget::OnRequest(const ServiceId& aService)
 {
   double& left = left_.try_emplace(aService, options_.burst).first->second;
-  left = std::min(left + options_.perRequest, options_.burst);
+  left = std::min(left + options_.earnedPerRequest, options_.burst);
 }
 
 bool
-RetryBudget::TryTake(const ServiceId& aService)
+RetryBudget::TryTakeAttempt(const ServiceId& aService)
 {
   // A sum of tenths may stay just below the whole number that it stands for.
   constexpr double kRounding = 1e-9;
--- a/lib/Recovery/RetryPolicy.cpp
+++ b/lib/Recovery/RetryPolicy.cpp
@@ -87,7 +87,7 @@
 }
 
 RetryDecision
-RetryPolicy::Decide(TimePoint aNow, AttemptEnd aEnd, const RetryFacts& aFacts)
+RetryPolicy::DecideAfterAttempt(TimePoint aNow, AttemptEnd aEnd, const RetryFacts& aFacts)
 {
   if (aEnd == AttemptEnd::Answered) {
     return RetryDecision{ .action = RetryAction::Accept,
@@ -98,36 +98,36 @@
   // After a timeout no time is left; a cancelled attempt has nobody who waits for it.
   if (aEnd == AttemptEnd::TimedOut || aEnd == AttemptEnd::Cancelled)
     return GiveUp(true, ReasonOf(aEnd));
-  return DecideFailed(aNow, CertainlyNotRun(aEnd), ReasonOf(aEnd), aFacts);
+  return DecideAfterFailure(aNow, CertainlyNotRun(aEnd), ReasonOf(aEnd), aFacts);
 }
 
 RetryDecision
-RetryPolicy::DecideForward(TimePoint aNow,
-                           Outcome aOutcome,
-                           Reason aReason,
-                           const RetryFacts& aFacts)
+RetryPolicy::DecideAfterForward(TimePoint aNow,
+                                Outcome aOutcome,
+                                Reason aReason,
+                                const RetryFacts& aFacts)
 {
   if (aOutcome == Outcome::Answered)
-    return Decide(aNow, AttemptEnd::Answered, aFacts);
+    return DecideAfterAttempt(aNow, AttemptEnd::Answered, aFacts);
   const bool notRun = aOutcome == Outcome::NotRun;
   if (notRun ? !MayTryElsewhere(aReason) : !IsServerFailure(aReason))
     return GiveUp(!notRun || aFacts.mayHaveRun, aReason);
-  return DecideFailed(aNow, notRun, aReason, aFacts);
+  return DecideAfterFailure(aNow, notRun, aReason, aFacts);
 }
 
 RetryDecision
-RetryPolicy::DecideFailed(TimePoint aNow,
-                          bool aCertainlyNotRun,
-                          Reason aReason,
-                          const RetryFacts& aFacts)
+RetryPolicy::DecideAfterFailure(TimePoint aNow,
+                                bool aCertainlyNotRun,
+                                Reason aReason,
+                                const RetryFacts& aFacts)
 {
   const bool mayHaveRun = aFacts.mayHaveRun || !aCertainlyNotRun;
   if (mayHaveRun && !aFacts.idempotent)
     return GiveUp(true, aReason);
   // The fingerprint has crashed servers, so a caller that repeats it does no good.
-  if (aFacts.blocked)
+  if (aFacts.fingerprintBlocked)
     return GiveUp(mayHaveRun, Reason::CrashQuarantine);
-  if (!aFacts.otherServer)
+  if (!aFacts.otherServerAvailable)
     return GiveUp(mayHaveRun, aReason);
   if (aNow + aFacts.expectedTime > aFacts.deadline)
     return GiveUp(mayHaveRun, Reason::DeadlineExceeded);
@@ -135,7 +135,7 @@
                                           : aFacts.budgetTries < options_.maxBudgetTries;
   if (!triesLeft)
     return GiveUp(mayHaveRun, aReason);
-  if (!aCertainlyNotRun && !budget_.TryTake(aFacts.service))
+  if (!aCertainlyNotRun && !budget_.TryTakeAttempt(aFacts.service))
     return GiveUp(mayHaveRun, Reason::RetryBudget);
   return RetryDecision{ .action = RetryAction::Retry,
                         .usedBudget = !aCertainlyNotRun,
--- a/lib/Steering/Dispatcher.cpp
+++ b/lib/Steering/Dispatcher.cpp
@@ -53,7 +53,7 @@
 constexpr double kLatencyWeight = 0.03;
 
 /// A request that crashed this many instances is not sent to another one.
-constexpr CrashRegistryOptions kCrashOptions{ .crashesToBlock = 3, .blockTime = 60s };
+constexpr CrashRegistryOptions kCrashOptions{ .crashesToBlock = 3, .blockDuration = 60s };
 
 uint32_t
 ShortHash(const BackendId& aId)
@@ -105,7 +105,7 @@
   , random_(options_.randomSeed)
   , view_(std::make_shared<FleetView>())
   , shifts_(options_.region, kShiftUse * options_.maxShift)
-  , retries_({ .perRequest = kRetryUse * options_.retryRatio, .burst = 1 })
+  , retries_({ .earnedPerRequest = kRetryUse * options_.retryRatio, .burst = 1 })
   , crashes_(kCrashOptions, random_.Next())
 {
 }
@@ -395,7 +395,7 @@
     return true; // No instance got anything: the first one is still to come.
   if (!route.idempotent && aReport.kind != Kind::NotExecuted)
     return false;
-  return aRequest.attempts < route.maxAttempts && retries_.TryTake(aRequest.service);
+  return aRequest.attempts < route.maxAttempts && retries_.TryTakeAttempt(aRequest.service);
 }
 
 Verdict
--- a/tools/slopes/Members.cpp
+++ b/tools/slopes/Members.cpp
@@ -67,7 +67,7 @@
                 sentBytes_ += SyncBytes(*sync);
             },
           .memberChanged = [](const MemberUpdate&) {},
-          .acked = [](TimePoint) {} })
+          .probeAcknowledged = [](TimePoint) {} })
   {
     for (size_t i = 0; i < peers_.size(); ++i)
       index_[peers_[i].vm.peers] = i;
@@ -237,7 +237,7 @@
                            if (nodes_[aIndex].keeper)
                              nodes_[aIndex].keeper->OnMember(At(time_), aMember);
                          },
-                       .acked = [](TimePoint) {} });
+                       .probeAcknowledged = [](TimePoint) {} });
     node.keeper = std::make_unique<ListKeeper>(
       ListKeeperOptions{ .self = members_[aIndex].vm, .randomSeed = aIndex + 1 },
       ListKeeperHooks{ .callStore =
--- a/unittests/Config/SimulatedFleet.h
+++ b/unittests/Config/SimulatedFleet.h
@@ -258,7 +258,7 @@
                [this, aIndex](const MemberUpdate& aMember) {
                  nodes[aIndex].keeper->OnMember(Time(), aMember);
                },
-             .acked = [](TimePoint) {} };
+             .probeAcknowledged = [](TimePoint) {} };
   }
 
   void SendStream(size_t aIndex, const Vm& aTo, const StreamMessage& aMessage)
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -155,11 +155,11 @@
   machine.fleet.HealNetwork();
   machine.fleet.RunFor(10s);
   machine.fleet.Tick(node);
-  cr_assert(node.membership->Live().size() == kVmCount);
+  cr_assert(node.membership->LiveMembers().size() == kVmCount);
   machine.fleet.Resume(0);
   for (int i = 0; i < 200; ++i) {
     machine.fleet.RunFor(kTick);
-    cr_assert(node.membership->Live().size() == kVmCount);
+    cr_assert(node.membership->LiveMembers().size() == kVmCount);
   }
   cr_assert(machine.Wrong().empty(), "%s", machine.Wrong().c_str());
 }
@@ -173,7 +173,7 @@
                         { .sendDatagram = [](auto&, auto&) {},
                           .sendStream = [](auto&, auto&) {},
                           .memberChanged = [](auto&) {},
-                          .acked = [](auto) {} });
+                          .probeAcknowledged = [](auto) {} });
   MemberUpdate peer;
   peer.vm.id = VmId("peer");
   membership.Start(now);
--- a/unittests/Recovery/RecoveryTest.cpp
+++ b/unittests/Recovery/RecoveryTest.cpp
@@ -21,7 +21,7 @@
   AttemptEnd end;
   bool idempotent;
   bool mayHaveRun;
-  bool otherServer;
+  bool otherServerAvailable;
   bool blocked;
   uint32_t freeTries;
   uint32_t budgetTries;
@@ -139,10 +139,10 @@
                           .expectedTime = 20ms,
                           .freeTries = aCase->freeTries,
                           .budgetTries = aCase->budgetTries,
-                          .otherServer = aCase->otherServer,
-                          .blocked = aCase->blocked,
+                          .otherServerAvailable = aCase->otherServerAvailable,
+                          .fingerprintBlocked = aCase->blocked,
                           .mayHaveRun = aCase->mayHaveRun };
-  const RetryDecision decision = policy.Decide(TimePoint(), aCase->end, facts);
+  const RetryDecision decision = policy.DecideAfterAttempt(TimePoint(), aCase->end, facts);
   cr_assert(decision.action == aCase->action && decision.outcome == aCase->outcome);
   cr_assert(decision.reason == aCase->reason, "%s", ToString(decision.reason).data());
 }
@@ -165,9 +165,9 @@
                         .deadline = TimePoint(1s) };
       RetryDecision decision;
       do {
-        facts.otherServer = random.Below(10) > 0;
+        facts.otherServerAvailable = random.Below(10) > 0;
         const auto end = static_cast<AttemptEnd>(random.Below(7));
-        decision = policy.Decide(TimePoint(), end, facts);
+        decision = policy.DecideAfterAttempt(TimePoint(), end, facts);
         facts.mayHaveRun = facts.mayHaveRun || !CertainlyNotRun(end);
         if (decision.action != RetryAction::Retry) {
           RC_ASSERT(decision.outcome != Outcome::NotRun || !facts.mayHaveRun);
