--- a/include/dragonflymoor/Membership/Membership.h
+++ b/include/dragonflymoor/Membership/Membership.h
@@ -17,7 +17,7 @@
 
 namespace dfm {
 
-/// Largest datagram between VMs; fits every path without fragments.
+/// Largest datagram between VMs; small enough to avoid IP fragmentation on every path.
 constexpr size_t kMaxDatagramBytes = 1200;
 
 struct MembershipOptions
@@ -31,22 +31,23 @@
   /// Wait for a direct answer before other members are asked to probe; must be above the longest
   /// round trip (40 ms between regions) and below the period.
   Duration ackTimeout = 100ms;
-  size_t indirectProbes = 3;
+  size_t indirectProbeCount = 3;
   /// A suspicion lasts this many periods times max(1, log10(members)).
   double suspicionPeriods = 5;
-  /// A dead member, or one that only the platform's list names, is probed this often, at most two
-  /// in each period.
+  /// Interval between probes of a dead member, or of a VM known only from the platform's list. At
+  /// most two of them are probed in each probe period.
   Duration deadProbePeriod = 5s;
-  /// A dead member is kept at least this long, so that updates still on their way don't revive it.
-  Duration forgetAfter = 60s;
-  /// Whole lists are exchanged with one random member this often, for up to 32 members; for n
-  /// members the period is n / 32 times as long, so that bytes per second stay constant.
+  /// A dead member is kept at least this long, so that updates still in transit do not revive it.
+  Duration deadMemberRetention = 60s;
+  /// The full member list is exchanged with one random member at this interval, for up to 32
+  /// members; for n members the period is n / 32 times as long, so that bytes per second stay
+  /// constant.
   Duration syncPeriod = 60s;
   /// Updates in one datagram besides the sender's own.
-  size_t maxPiggyback = 6;
+  size_t maxPiggybackedUpdates = 6;
 };
 
-/// Actions of the membership. None may call it again before it returns.
+/// Callbacks of Membership. None may call back into the Membership before it returns.
 struct MembershipHooks
 {
   std::function<void(const Endpoint&, const DatagramMessage&)> sendDatagram;
@@ -58,7 +59,7 @@
   std::function<void(TimePoint)> probeAcknowledged;
 };
 
-/// What this VM knows of a run of another VM's process.
+/// State of one run (process instance) of another VM, as known to this VM.
 enum class InstanceState
 {
   Alive,
@@ -76,8 +77,9 @@
   Membership(MembershipOptions aOptions, MembershipHooks aHooks);
 
   void Start(Now aNow);
-  /// Every 20 ms. After a step above the probe period, outstanding probes are dropped without a
-  /// verdict, because their answers may still wait in the socket.
+  /// Must be called every 20 ms. If more than the probe period has passed since the previous call,
+  /// pending probes are dropped without suspecting their targets, because their answers may still
+  /// wait in the socket.
   void OnTick(Now aNow);
   void OnDatagram(Now aNow, const Endpoint& aFrom, const DatagramMessage& aMessage);
   void OnSync(Now aNow, const VmId& aFrom, const MemberSync& aSync);
@@ -85,11 +87,11 @@
   /// the list are forgotten.
   void OnVmList(Now aNow, const std::vector<PlatformVm>& aVms);
 
-  /// This VM is leaving; cannot be taken back. It still answers probes.
+  /// This VM is leaving; cannot be undone. It still answers probes.
   void SetLeaving(Now aNow);
   /// This VM stops: tells a few members that it left, without waiting for suspicion.
   void Leave(Now aNow);
-  /// Versions in force here, carried in the own update.
+  /// Sets the list versions in force on this VM, which its own update carries.
   void SetListVersions(const std::array<ListVersion, kListCount>& aVersions);
 
   /// Description of this VM as it is sent to others.
@@ -104,13 +106,13 @@
   InstanceState StateOf(const VmInstance& aInstance) const;
   /// Send time of the latest probe that any peer acknowledged; empty before the first.
   std::optional<TimePoint> LastAckedProbeSentAt() const { return lastAckedProbeSentAt_; }
-  /// Smallest roster version that is in force on every VM of the roster, dead ones included, by
-  /// what they last said; 0 while one of them has not been heard.
+  /// Smallest roster version that is in force on every VM of the roster, dead ones included,
+  /// according to the last update of each; 0 while no update of one of them has been received.
   ListVersion ConfirmedRosterVersion(const std::vector<Vm>& aRoster) const;
   /// Regions other than the own one, nearest first by measured round trip; unmeasured ones last, by
   /// name.
   std::vector<RegionId> RegionsByLatency() const;
-  /// Changes whenever LiveMembers() or LiveNotLeaving() changes.
+  /// Counter that increases whenever the set returned by LiveMembers() or LiveNotLeaving() changes.
   uint64_t Epoch() const { return epoch_; }
 
 private:
@@ -119,60 +121,61 @@
     MemberUpdate update;
     TimePoint suspectedAt; ///< Valid while suspect.
     TimePoint endedAt;     ///< Valid while dead or left.
-    /// How often the update was passed on; empty when that is done.
-    std::optional<unsigned> transmits;
-    std::vector<Incarnation> superseded; ///< Earlier runs, the latest last.
-    /// A run that counts as earlier was heard; it may be the later one, with a clock that went
-    /// back.
-    bool contradicted = false;
+    /// How often the update was sent on; empty when it is no longer queued for dissemination.
+    std::optional<unsigned> transmitCount;
+    std::vector<Incarnation> supersededRuns; ///< Earlier runs, the latest last.
+    /// An update of a run that is ordered earlier was received. That run may be the later one if
+    /// its wall clock went back.
+    bool earlierRunHeard = false;
   };
-  /// A probe that waits for its acknowledgement.
-  struct Outstanding
+  /// A probe whose acknowledgement has not arrived.
+  struct PendingProbe
   {
     VmId target;
     TimePoint sentAt;
     bool indirectSent = false;
-    bool verdict = true; ///< A lost answer makes the target suspect.
+    bool suspectOnTimeout = true; ///< If no answer arrives, the target becomes suspect.
   };
   /// A probe on behalf of another VM.
-  struct Relay
+  struct RelayedProbe
   {
-    uint64_t nonce = 0; ///< Of the VM that asked.
-    Endpoint asker;
+    uint64_t nonce = 0; ///< Nonce of the IndirectProbe of the requester.
+    Endpoint requester;
     TimePoint sentAt;
   };
-  /// A dead member, or a VM of the platform's list that was never heard.
-  struct Lost
+  /// A dead member, or a VM of the platform's list from which no update was received.
+  struct UnreachableVm
   {
     Vm vm;
-    TimePoint nextProbe;
+    TimePoint nextProbeAt;
   };
 
-  std::vector<MemberUpdate> Piggyback(const VmId& aReceiver);
-  void SendProbe(Now aNow, const VmId& aTarget, const Endpoint& aEndpoint, bool aVerdict);
-  void SendIndirect(Now aNow, uint64_t aNonce, const VmId& aTarget);
-  void ProbeNext(Now aNow);
-  void ProbeLost(Now aNow);
+  std::vector<MemberUpdate> TakePiggybackUpdates(const VmId& aReceiver);
+  void SendProbe(Now aNow, const VmId& aTarget, const Endpoint& aEndpoint, bool aSuspectOnTimeout);
+  void SendIndirectProbes(Now aNow, uint64_t aNonce, const VmId& aTarget);
+  void ProbeNextMember(Now aNow);
+  void ProbeUnreachableVms(Now aNow);
   void ProbeSeeds(Now aNow);
-  void CheckOutstanding(Now aNow);
-  void CheckSuspicions(Now aNow);
-  void ForgivePause(Now aNow, Duration aStep);
-  std::vector<const Vm*> RandomLive(size_t aCount, const VmId& aExcept);
-  void SyncWith(Now aNow, const Vm& aVm);
+  void CheckPendingProbes(Now aNow);
+  void ExpireSuspicions(Now aNow);
+  void CompensateForPause(Now aNow, Duration aStep);
+  std::vector<const Vm*> RandomLiveVms(size_t aCount, const VmId& aExcept);
+  void SendSyncRequest(Now aNow, const Vm& aVm);
   MemberSync MakeSync(bool aWantsReply) const;
   Duration SyncPeriod() const;
   void OnProbe(Now aNow, const Endpoint& aFrom, const Probe& aProbe);
-  void OnAck(Now aNow, const ProbeAck& aAck);
+  void OnProbeAck(Now aNow, const ProbeAck& aAck);
   void OnIndirectProbe(Now aNow, const Endpoint& aFrom, const IndirectProbe& aProbe);
-  void ApplyAll(Now aNow, const std::vector<MemberUpdate>& aUpdates, bool aPassOn);
-  void ApplySelf(const MemberUpdate& aUpdate);
-  void ApplyKnown(Now aNow, Member& aMember, const MemberUpdate& aUpdate);
-  void Add(Now aNow, const MemberUpdate& aUpdate, bool aPassOn);
-  /// Follows up a change of aMember's update; aBefore is the update it replaced.
-  void Changed(Now aNow, Member& aMember, const MemberUpdate& aBefore);
-  void MakeState(Now aNow, Member& aMember, MemberState aState);
-  void Enqueue(Member& aMember);
-  void Dequeue(Member& aMember);
+  void ApplyUpdates(Now aNow, const std::vector<MemberUpdate>& aUpdates, bool aDisseminate);
+  void ApplyUpdateOfSelf(const MemberUpdate& aUpdate);
+  void ApplyUpdateOfMember(Now aNow, Member& aMember, const MemberUpdate& aUpdate);
+  void AddMember(Now aNow, const MemberUpdate& aUpdate, bool aDisseminate);
+  /// Updates the derived state after a change of aMember's update and calls memberChanged;
+  /// aPrevious is the update before the change.
+  void OnMemberChanged(Now aNow, Member& aMember, const MemberUpdate& aPrevious);
+  void SetState(Now aNow, Member& aMember, MemberState aState);
+  void EnqueueUpdate(Member& aMember);
+  void DequeueUpdate(Member& aMember);
   unsigned TransmitLimit() const;
   Duration SuspicionTimeout() const;
 
@@ -181,22 +184,23 @@
   Random random_;
   MemberUpdate self_;
   std::map<VmId, Member> members_;
-  std::map<VmId, Lost> lost_;
-  VmId lostCursor_;
+  std::map<VmId, UnreachableVm> unreachableVms_;
+  VmId unreachableCursor_;
   std::vector<VmId> probeOrder_;
   size_t probeIndex_ = 0;
-  std::unordered_map<uint64_t, Outstanding> outstanding_;
-  std::unordered_map<uint64_t, Relay> relays_;
-  std::set<std::pair<unsigned, VmId>> queue_; ///< Updates to pass on, by number of transmits.
+  std::unordered_map<uint64_t, PendingProbe> pendingProbes_;
+  std::unordered_map<uint64_t, RelayedProbe> relayedProbes_;
+  /// Members whose updates are to be disseminated, fewest transmissions first.
+  std::set<std::pair<unsigned, VmId>> updateQueue_;
   std::set<VmId> suspects_;
   size_t liveCount_ = 0; ///< Other members that are alive or suspect.
-  std::optional<TimePoint> lastTick_;
-  TimePoint nextProbe_;
-  TimePoint nextSync_;
-  TimePoint nextSeedProbe_;
-  bool synced_ = false; ///< A member list has arrived from a peer.
+  std::optional<TimePoint> lastTickAt_;
+  TimePoint nextProbeAt_;
+  TimePoint nextSyncAt_;
+  TimePoint nextSeedProbeAt_;
+  bool memberListReceived_ = false; ///< A member list has arrived from a peer.
   std::optional<TimePoint> lastAckedProbeSentAt_;
-  std::map<RegionId, double> roundTripSeconds_;
+  std::map<RegionId, double> meanRoundTripSeconds_;
   uint64_t epoch_ = 0;
 };
 
--- a/include/dragonflymoor/Membership/PauseDetector.h
+++ b/include/dragonflymoor/Membership/PauseDetector.h
@@ -8,8 +8,8 @@
 
 struct PauseDetectorOptions
 {
-  Duration longestStep = 500ms; ///< A longer step between two ticks is a pause.
-  Duration aloneWait = 2s;      ///< After a pause, wait at most this long for a peer.
+  Duration maxTickInterval = 500ms; ///< A longer interval between two ticks counts as a pause.
+  Duration maxAckWait = 2s;         ///< After a pause, longest wait for an acknowledgement.
 };
 
 /// Tells whether this VM may dispatch (design section 3, guard 1): a process that was paused may
@@ -22,19 +22,20 @@
   {
   }
 
-  /// A tick of the control loop. Returns true when a pause was detected just now.
+  /// Called on each tick of the control loop. Returns true if this call detected a pause.
   bool OnTick(TimePoint aNow);
 
   /// A peer acknowledged a probe that was sent at the given time. Only probes sent after the pause
   /// count, because older acknowledgements may have waited in the socket.
   void OnAck(TimePoint aProbeSentAt);
 
-  /// Checked at the moment of each dispatch; false also when the last tick is too old.
+  /// Must be checked right before each dispatch. False while an acknowledgement is awaited after a
+  /// pause, before the first tick, and when the last tick is older than maxTickInterval.
   bool MayDispatch(TimePoint aNow) const;
 
 private:
   PauseDetectorOptions options_;
-  std::optional<TimePoint> lastTick_;
+  std::optional<TimePoint> lastTickAt_;
   std::optional<TimePoint> resumedAt_; ///< Set while an acknowledgement is awaited.
 };
 
--- a/lib/Membership/Membership.cpp
+++ b/lib/Membership/Membership.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-// Each update is passed on this many times log10(members + 1), rounded up.
+// Each update is disseminated kTransmitFactor * log10(members + 1) times, rounded up.
 constexpr double kTransmitFactor = 8;
-// Dead members and unheard candidates probed in one period; bounds the traffic while a whole region
-// is unreachable.
-constexpr size_t kLostProbesPerPeriod = 2;
-constexpr Duration kSeedPeriod = 1s;
+// Number of dead members and VMs not yet heard from that are probed in one period; bounds the
+// traffic while a whole region is unreachable.
+constexpr size_t kUnreachableProbesPerPeriod = 2;
+constexpr Duration kSeedProbePeriod = 1s;
 // Up to this number of members the sync period is not stretched.
-constexpr size_t kSyncMembers = 32;
-constexpr size_t kLeaveMessages = 5;
-constexpr size_t kMaxSuperseded = 4;
+constexpr size_t kMaxMembersAtBaseSyncPeriod = 32;
+constexpr size_t kLeaveMessageCount = 5;
+constexpr size_t kMaxSupersededRuns = 4;
 // Weight of the latest round trip in the mean of its region.
 constexpr double kRoundTripWeight = 0.2;
 
 // Sizes of the FlatBuffers encoding, rounded up: tables, offsets and vtables of a message, and of
 // one update without the bytes of its strings.
-constexpr size_t kMessageBytes = 120;
-constexpr size_t kUpdateBytes = 208;
+constexpr size_t kMessageOverheadBytes = 120;
+constexpr size_t kUpdateOverheadBytes = 208;
 
 bool
 IsLive(MemberState aState)
@@ -36,7 +36,7 @@
 
 /// Order of two runs of the same VM; the higher one is the later run.
 auto
-RunOrder(const MemberUpdate& aUpdate)
+RunOrderKey(const MemberUpdate& aUpdate)
 {
   return std::tuple(aUpdate.startedAtMs, aUpdate.incarnation.value);
 }
@@ -45,7 +45,7 @@
 EncodedSizeBound(const MemberUpdate& aUpdate)
 {
   const Vm& vm = aUpdate.vm;
-  return kUpdateBytes + vm.id.Value().size() + vm.region.Value().size() +
+  return kUpdateOverheadBytes + vm.id.Value().size() + vm.region.Value().size() +
          vm.failureDomain.Value().size() + vm.callers.address.size() + vm.peers.address.size();
 }
 
@@ -62,7 +62,7 @@
 size_t
 EncodedSizeBound(const DatagramMessage& aMessage)
 {
-  size_t bytes = kMessageBytes;
+  size_t bytes = kMessageOverheadBytes;
   std::visit(
     [&](const auto& aMember) {
       for (const MemberUpdate& update : aMember.updates)
@@ -80,8 +80,8 @@
   , random_(options_.randomSeed)
 {
   assert(hooks_.sendDatagram && hooks_.sendStream && hooks_.memberChanged &&
-         hooks_.probeAcknowledged && "hook is not set");
-  assert(options_.ackTimeout < options_.probePeriod && "acknowledgement timeout above the period");
+         hooks_.probeAcknowledged && "every membership hook must be set");
+  assert(options_.ackTimeout < options_.probePeriod && "ackTimeout must be below probePeriod");
   self_.vm = options_.self;
   self_.incarnation = options_.incarnation;
   self_.startedAtMs = options_.startedAtMs;
@@ -90,40 +90,41 @@
 void
 Membership::Start(Now aNow)
 {
-  lastTick_ = aNow.monotonic;
-  nextProbe_ = aNow.monotonic + random_.Between(Duration(0), options_.probePeriod);
-  nextSync_ = aNow.monotonic + random_.Between(Duration(0), options_.syncPeriod);
-  nextSeedProbe_ = aNow.monotonic;
+  lastTickAt_ = aNow.monotonic;
+  nextProbeAt_ = aNow.monotonic + random_.Between(Duration(0), options_.probePeriod);
+  nextSyncAt_ = aNow.monotonic + random_.Between(Duration(0), options_.syncPeriod);
+  nextSeedProbeAt_ = aNow.monotonic;
   ProbeSeeds(aNow);
 }
 
 void
 Membership::OnTick(Now aNow)
 {
-  const Duration step = lastTick_ ? aNow.monotonic - *lastTick_ : Duration(0);
-  lastTick_ = aNow.monotonic;
+  const Duration step = lastTickAt_ ? aNow.monotonic - *lastTickAt_ : Duration(0);
+  lastTickAt_ = aNow.monotonic;
   if (step > options_.probePeriod)
-    ForgivePause(aNow, step);
-  CheckOutstanding(aNow);
-  CheckSuspicions(aNow);
+    CompensateForPause(aNow, step);
+  CheckPendingProbes(aNow);
+  ExpireSuspicions(aNow);
   ProbeSeeds(aNow);
-  if (aNow.monotonic >= nextSync_) {
-    nextSync_ = aNow.monotonic + SyncPeriod();
-    for (const Vm* vm : RandomLive(1, VmId()))
-      SyncWith(aNow, *vm);
+  if (aNow.monotonic >= nextSyncAt_) {
+    nextSyncAt_ = aNow.monotonic + SyncPeriod();
+    for (const Vm* vm : RandomLiveVms(1, VmId()))
+      SendSyncRequest(aNow, *vm);
   }
-  if (aNow.monotonic < nextProbe_)
+  if (aNow.monotonic < nextProbeAt_)
     return;
-  nextProbe_ = std::max(nextProbe_ + options_.probePeriod, aNow.monotonic);
-  ProbeNext(aNow);
-  ProbeLost(aNow);
+  nextProbeAt_ = std::max(nextProbeAt_ + options_.probePeriod, aNow.monotonic);
+  ProbeNextMember(aNow);
+  ProbeUnreachableVms(aNow);
 }
 
 void
-Membership::ForgivePause(Now aNow, Duration aStep)
+Membership::CompensateForPause(Now aNow, Duration aStep)
 {
-  outstanding_.clear();
-  // A suspicion that arrived after the pause, before this tick, started just now.
+  pendingProbes_.clear();
+  // A suspicion received after the pause but before this tick counts as started at this tick; its
+  // start must not lie in the future.
   for (const VmId& id : suspects_) {
     TimePoint& suspectedAt = members_.at(id).suspectedAt;
     suspectedAt = std::min(suspectedAt + aStep, aNow.monotonic);
@@ -133,8 +134,8 @@
 Duration
 Membership::SyncPeriod() const
 {
-  const double factor =
-    std::max(1.0, static_cast<double>(members_.size()) / static_cast<double>(kSyncMembers));
+  const double factor = std::max(
+    1.0, static_cast<double>(members_.size()) / static_cast<double>(kMaxMembersAtBaseSyncPeriod));
   return FromSeconds(ToSeconds(options_.syncPeriod) * factor);
 }
 
@@ -153,28 +154,29 @@
 }
 
 std::vector<MemberUpdate>
-Membership::Piggyback(const VmId& aReceiver)
+Membership::TakePiggybackUpdates(const VmId& aReceiver)
 {
   std::vector<MemberUpdate> updates{ self_ };
-  size_t bytes = kMessageBytes + EncodedSizeBound(self_) + aReceiver.Value().size();
+  size_t bytes = kMessageOverheadBytes + EncodedSizeBound(self_) + aReceiver.Value().size();
   const auto add = [&](const MemberUpdate& aUpdate) {
     const size_t size = EncodedSizeBound(aUpdate);
-    if (bytes + size > kMaxDatagramBytes || updates.size() > options_.maxPiggyback)
+    if (bytes + size > kMaxDatagramBytes || updates.size() > options_.maxPiggybackedUpdates)
       return false;
     bytes += size;
     updates.push_back(aUpdate);
     return true;
   };
-  // A VM that is taken for suspect, dead or an earlier run must learn it, so that it can refute.
+  // A receiver that this VM considers suspect, dead or an earlier run is told so, so that it can
+  // refute that.
   const auto receiver = members_.find(aReceiver);
   if (receiver != members_.end() &&
-      (receiver->second.update.state != MemberState::Alive || receiver->second.contradicted)) {
+      (receiver->second.update.state != MemberState::Alive || receiver->second.earlierRunHeard)) {
     add(receiver->second.update);
-    receiver->second.contradicted = false;
+    receiver->second.earlierRunHeard = false;
   }
 
   std::vector<VmId> sent;
-  for (const auto& [transmits, id] : queue_) {
+  for (const auto& [transmitCount, id] : updateQueue_) {
     if (id == aReceiver)
       continue;
     if (!add(members_.at(id).update))
@@ -183,44 +185,49 @@
   }
   for (const VmId& id : sent) {
     Member& member = members_.at(id);
-    const unsigned transmits = *member.transmits + 1;
-    Dequeue(member);
-    if (transmits >= TransmitLimit())
+    const unsigned transmitCount = *member.transmitCount + 1;
+    DequeueUpdate(member);
+    if (transmitCount >= TransmitLimit())
       continue;
-    member.transmits = transmits;
-    queue_.emplace(transmits, id);
+    member.transmitCount = transmitCount;
+    updateQueue_.emplace(transmitCount, id);
   }
   return updates;
 }
 
 void
-Membership::Enqueue(Member& aMember)
+Membership::EnqueueUpdate(Member& aMember)
 {
-  Dequeue(aMember);
-  aMember.transmits = 0;
-  queue_.emplace(0, aMember.update.vm.id);
+  DequeueUpdate(aMember);
+  aMember.transmitCount = 0;
+  updateQueue_.emplace(0, aMember.update.vm.id);
 }
 
 void
-Membership::Dequeue(Member& aMember)
+Membership::DequeueUpdate(Member& aMember)
 {
-  if (aMember.transmits)
-    queue_.erase({ *aMember.transmits, aMember.update.vm.id });
-  aMember.transmits.reset();
+  if (aMember.transmitCount)
+    updateQueue_.erase({ *aMember.transmitCount, aMember.update.vm.id });
+  aMember.transmitCount.reset();
 }
 
 void
-Membership::SendProbe(Now aNow, const VmId& aTarget, const Endpoint& aEndpoint, bool aVerdict)
+Membership::SendProbe(Now aNow,
+                      const VmId& aTarget,
+                      const Endpoint& aEndpoint,
+                      bool aSuspectOnTimeout)
 {
   const uint64_t nonce = random_.Next();
-  outstanding_[nonce] = { .target = aTarget, .sentAt = aNow.monotonic, .verdict = aVerdict };
-  hooks_.sendDatagram(aEndpoint, Probe{ .nonce = nonce, .updates = Piggyback(aTarget) });
+  pendingProbes_[nonce] = { .target = aTarget,
+                            .sentAt = aNow.monotonic,
+                            .suspectOnTimeout = aSuspectOnTimeout };
+  hooks_.sendDatagram(aEndpoint, Probe{ .nonce = nonce, .updates = TakePiggybackUpdates(aTarget) });
 }
 
 void
-Membership::ProbeNext(Now aNow)
+Membership::ProbeNextMember(Now aNow)
 {
-  // At most one round: every member of the order may be dead.
+  // Visits each entry of the probe order at most once, because all of them may be dead.
   for (size_t i = 0; i <= probeOrder_.size(); ++i) {
     if (probeIndex_ >= probeOrder_.size()) {
       probeOrder_.clear();
@@ -243,17 +250,18 @@
 }
 
 void
-Membership::ProbeLost(Now aNow)
+Membership::ProbeUnreachableVms(Now aNow)
 {
   size_t sent = 0;
-  auto next = lost_.upper_bound(lostCursor_);
-  for (size_t i = lost_.size(); i > 0 && sent < kLostProbesPerPeriod; --i, ++next) {
-    if (next == lost_.end())
-      next = lost_.begin();
-    if (aNow.monotonic < next->second.nextProbe)
+  auto next = unreachableVms_.upper_bound(unreachableCursor_);
+  for (size_t i = unreachableVms_.size(); i > 0 && sent < kUnreachableProbesPerPeriod;
+       --i, ++next) {
+    if (next == unreachableVms_.end())
+      next = unreachableVms_.begin();
+    if (aNow.monotonic < next->second.nextProbeAt)
       continue;
-    next->second.nextProbe = aNow.monotonic + options_.deadProbePeriod;
-    lostCursor_ = next->first;
+    next->second.nextProbeAt = aNow.monotonic + options_.deadProbePeriod;
+    unreachableCursor_ = next->first;
     SendProbe(aNow, next->first, next->second.vm.peers, false);
     ++sent;
   }
@@ -262,9 +270,9 @@
 void
 Membership::ProbeSeeds(Now aNow)
 {
-  if ((synced_ && liveCount_ > 0) || aNow.monotonic < nextSeedProbe_)
+  if ((memberListReceived_ && liveCount_ > 0) || aNow.monotonic < nextSeedProbeAt_)
     return;
-  nextSeedProbe_ = aNow.monotonic + kSeedPeriod;
+  nextSeedProbeAt_ = aNow.monotonic + kSeedProbePeriod;
   for (const Endpoint& seed : options_.seeds) {
     if (seed != self_.vm.peers)
       SendProbe(aNow, VmId(), seed, false);
@@ -272,20 +280,20 @@
 }
 
 std::vector<const Vm*>
-Membership::RandomLive(size_t aCount, const VmId& aExcept)
+Membership::RandomLiveVms(size_t aCount, const VmId& aExcept)
 {
   // Reservoir sample, because the live members are not stored contiguously.
   std::vector<const Vm*> chosen;
-  size_t seen = 0;
+  size_t seenCount = 0;
   for (const auto& [id, member] : members_) {
     if (!IsLive(member.update.state) || id == aExcept)
       continue;
-    ++seen;
+    ++seenCount;
     if (chosen.size() < aCount) {
       chosen.push_back(&member.update.vm);
       continue;
     }
-    const size_t place = random_.Below(seen);
+    const size_t place = random_.Below(seenCount);
     if (place < aCount)
       chosen[place] = &member.update.vm;
   }
@@ -293,45 +301,46 @@
 }
 
 void
-Membership::SendIndirect(Now /*aNow*/, uint64_t aNonce, const VmId& aTarget)
+Membership::SendIndirectProbes(Now /*aNow*/, uint64_t aNonce, const VmId& aTarget)
 {
-  for (const Vm* vm : RandomLive(options_.indirectProbes, aTarget))
+  for (const Vm* vm : RandomLiveVms(options_.indirectProbeCount, aTarget))
     hooks_.sendDatagram(
-      vm->peers, IndirectProbe{ .nonce = aNonce, .target = aTarget, .updates = Piggyback(vm->id) });
+      vm->peers,
+      IndirectProbe{ .nonce = aNonce, .target = aTarget, .updates = TakePiggybackUpdates(vm->id) });
 }
 
 void
-Membership::CheckOutstanding(Now aNow)
+Membership::CheckPendingProbes(Now aNow)
 {
   std::vector<VmId> unanswered;
-  for (auto entry = outstanding_.begin(); entry != outstanding_.end();) {
-    Outstanding& probe = entry->second;
+  for (auto entry = pendingProbes_.begin(); entry != pendingProbes_.end();) {
+    PendingProbe& probe = entry->second;
     const Duration age = aNow.monotonic - probe.sentAt;
-    if (probe.verdict && !probe.indirectSent && age >= options_.ackTimeout) {
+    if (probe.suspectOnTimeout && !probe.indirectSent && age >= options_.ackTimeout) {
       probe.indirectSent = true;
-      SendIndirect(aNow, entry->first, probe.target);
+      SendIndirectProbes(aNow, entry->first, probe.target);
     }
-    // Indirect answers get a whole period.
+    // After the indirect probes are sent, their answers may take a whole probe period.
     if (age < options_.ackTimeout + options_.probePeriod) {
       ++entry;
       continue;
     }
-    if (probe.verdict)
+    if (probe.suspectOnTimeout)
       unanswered.push_back(probe.target);
-    entry = outstanding_.erase(entry);
+    entry = pendingProbes_.erase(entry);
   }
   for (const VmId& id : unanswered) {
     const auto member = members_.find(id);
     if (member != members_.end() && member->second.update.state == MemberState::Alive)
-      MakeState(aNow, member->second, MemberState::Suspect);
+      SetState(aNow, member->second, MemberState::Suspect);
   }
-  std::erase_if(relays_, [&](const auto& aEntry) {
+  std::erase_if(relayedProbes_, [&](const auto& aEntry) {
     return aNow.monotonic - aEntry.second.sentAt > 2 * options_.probePeriod;
   });
 }
 
 void
-Membership::CheckSuspicions(Now aNow)
+Membership::ExpireSuspicions(Now aNow)
 {
   std::vector<VmId> expired;
   for (const VmId& id : suspects_) {
@@ -339,102 +348,105 @@
       expired.push_back(id);
   }
   for (const VmId& id : expired)
-    MakeState(aNow, members_.at(id), MemberState::Dead);
+    SetState(aNow, members_.at(id), MemberState::Dead);
 }
 
 void
-Membership::MakeState(Now aNow, Member& aMember, MemberState aState)
+Membership::SetState(Now aNow, Member& aMember, MemberState aState)
 {
   const MemberUpdate before = aMember.update;
   aMember.update.state = aState;
-  Changed(aNow, aMember, before);
-  Enqueue(aMember);
+  OnMemberChanged(aNow, aMember, before);
+  EnqueueUpdate(aMember);
 }
 
 void
-Membership::Changed(Now aNow, Member& aMember, const MemberUpdate& aBefore)
+Membership::OnMemberChanged(Now aNow, Member& aMember, const MemberUpdate& aPrevious)
 {
   const MemberUpdate& update = aMember.update;
   const VmId& id = update.vm.id;
-  const bool wasLive = IsLive(aBefore.state);
+  const bool wasLive = IsLive(aPrevious.state);
   const bool live = IsLive(update.state);
   liveCount_ = liveCount_ + (live ? 1 : 0) - (wasLive ? 1 : 0);
-  if (live != wasLive || update.leaving != aBefore.leaving || update.vm != aBefore.vm)
+  if (live != wasLive || update.leaving != aPrevious.leaving || update.vm != aPrevious.vm)
     ++epoch_;
   if (update.state == MemberState::Suspect &&
-      (aBefore.state != MemberState::Suspect || update.sequence != aBefore.sequence)) {
+      (aPrevious.state != MemberState::Suspect || update.sequence != aPrevious.sequence)) {
     aMember.suspectedAt = aNow.monotonic;
     suspects_.insert(id);
   }
   if (update.state != MemberState::Suspect)
     suspects_.erase(id);
   if (update.state == MemberState::Dead)
-    lost_[id] = { .vm = update.vm, .nextProbe = aNow.monotonic + options_.deadProbePeriod };
+    unreachableVms_[id] = { .vm = update.vm,
+                            .nextProbeAt = aNow.monotonic + options_.deadProbePeriod };
   else
-    lost_.erase(id);
+    unreachableVms_.erase(id);
   if (!live && wasLive)
     aMember.endedAt = aNow.monotonic;
   hooks_.memberChanged(update);
 }
 
 void
-Membership::Add(Now aNow, const MemberUpdate& aUpdate, bool aPassOn)
+Membership::AddMember(Now aNow, const MemberUpdate& aUpdate, bool aDisseminate)
 {
   Member& member = members_[aUpdate.vm.id];
   member.update = aUpdate;
-  // A place at random keeps the time until the first probe bounded by one round.
+  // Inserted at a random position of the current round, so that the first probe is at most one
+  // round away.
   probeOrder_.insert(probeOrder_.begin() +
                        static_cast<std::ptrdiff_t>(
                          probeIndex_ + random_.Below(probeOrder_.size() - probeIndex_ + 1)),
                      aUpdate.vm.id);
   MemberUpdate before = aUpdate;
   before.state = MemberState::Dead;
-  Changed(aNow, member, before);
-  if (aPassOn)
-    Enqueue(member);
+  OnMemberChanged(aNow, member, before);
+  if (aDisseminate)
+    EnqueueUpdate(member);
 }
 
 void
-Membership::ApplySelf(const MemberUpdate& aUpdate)
+Membership::ApplyUpdateOfSelf(const MemberUpdate& aUpdate)
 {
   if (aUpdate.incarnation == self_.incarnation) {
-    // Refutation: a statement about this run is overruled by a higher sequence.
+    // Refutes a statement that this run is not alive with a higher sequence.
     if (aUpdate.state != MemberState::Alive && aUpdate.sequence >= self_.sequence &&
         self_.state != MemberState::Left)
       self_.sequence = aUpdate.sequence + 1;
     return;
   }
-  // The wall clock went back between two runs: without this the others would ignore this run.
-  if (RunOrder(aUpdate) > RunOrder(self_) &&
+  // The wall clock went back between two runs: without this adjustment the other VMs would ignore
+  // this run.
+  if (RunOrderKey(aUpdate) > RunOrderKey(self_) &&
       aUpdate.startedAtMs < std::numeric_limits<uint64_t>::max())
     self_.startedAtMs = aUpdate.startedAtMs + 1;
 }
 
 void
-Membership::ApplyKnown(Now aNow, Member& aMember, const MemberUpdate& aUpdate)
+Membership::ApplyUpdateOfMember(Now aNow, Member& aMember, const MemberUpdate& aUpdate)
 {
   const MemberUpdate before = aMember.update;
   MemberUpdate& current = aMember.update;
   if (aUpdate.incarnation != current.incarnation) {
-    if (RunOrder(aUpdate) < RunOrder(current)) {
-      aMember.contradicted = true;
+    if (RunOrderKey(aUpdate) < RunOrderKey(current)) {
+      aMember.earlierRunHeard = true;
       return;
     }
-    aMember.superseded.push_back(current.incarnation);
-    if (aMember.superseded.size() > kMaxSuperseded)
-      aMember.superseded.erase(aMember.superseded.begin());
+    aMember.supersededRuns.push_back(current.incarnation);
+    if (aMember.supersededRuns.size() > kMaxSupersededRuns)
+      aMember.supersededRuns.erase(aMember.supersededRuns.begin());
     current = aUpdate;
-    Changed(aNow, aMember, before);
-    Enqueue(aMember);
+    OnMemberChanged(aNow, aMember, before);
+    EnqueueUpdate(aMember);
     return;
   }
   RaiseVersions(current.listVersions, aUpdate.listVersions);
   current.startedAtMs = std::max(current.startedAtMs, aUpdate.startedAtMs);
-  const bool news =
+  const bool isNewer =
     before.state != MemberState::Left &&
     (aUpdate.state == MemberState::Left ||
      std::tuple(aUpdate.sequence, aUpdate.state) > std::tuple(before.sequence, before.state));
-  if (news) {
+  if (isNewer) {
     current.vm = aUpdate.vm;
     current.sequence = std::max(aUpdate.sequence, before.sequence);
     current.state = aUpdate.state;
@@ -442,28 +454,28 @@
   }
   if (current == before)
     return;
-  Changed(aNow, aMember, before);
-  // Versions are not passed on: each VM carries its own, and a change of a list would otherwise
+  OnMemberChanged(aNow, aMember, before);
+  // Versions are not disseminated: each VM sends its own, and a change of a list would otherwise
   // cost one update for each member.
-  if (news)
-    Enqueue(aMember);
+  if (isNewer)
+    EnqueueUpdate(aMember);
 }
 
 void
-Membership::ApplyAll(Now aNow, const std::vector<MemberUpdate>& aUpdates, bool aPassOn)
+Membership::ApplyUpdates(Now aNow, const std::vector<MemberUpdate>& aUpdates, bool aDisseminate)
 {
   for (const MemberUpdate& update : aUpdates) {
     if (update.vm.id.Empty())
       continue;
     if (update.vm.id == self_.vm.id) {
-      ApplySelf(update);
+      ApplyUpdateOfSelf(update);
       continue;
     }
     const auto known = members_.find(update.vm.id);
     if (known != members_.end())
-      ApplyKnown(aNow, known->second, update);
+      ApplyUpdateOfMember(aNow, known->second, update);
     else if (IsLive(update.state))
-      Add(aNow, update, aPassOn);
+      AddMember(aNow, update, aDisseminate);
   }
 }
 
@@ -473,7 +485,7 @@
   if (const auto* probe = std::get_if<Probe>(&aMessage))
     OnProbe(aNow, aFrom, *probe);
   else if (const auto* ack = std::get_if<ProbeAck>(&aMessage))
-    OnAck(aNow, *ack);
+    OnProbeAck(aNow, *ack);
   else
     OnIndirectProbe(aNow, aFrom, std::get<IndirectProbe>(aMessage));
 }
@@ -483,40 +495,41 @@
 {
   if (aProbe.updates.empty())
     return;
-  ApplyAll(aNow, aProbe.updates, true);
+  ApplyUpdates(aNow, aProbe.updates, true);
   const VmId& sender = aProbe.updates.front().vm.id;
-  hooks_.sendDatagram(aFrom, ProbeAck{ .nonce = aProbe.nonce, .updates = Piggyback(sender) });
+  hooks_.sendDatagram(aFrom,
+                      ProbeAck{ .nonce = aProbe.nonce, .updates = TakePiggybackUpdates(sender) });
 }
 
 void
 Membership::OnIndirectProbe(Now aNow, const Endpoint& aFrom, const IndirectProbe& aProbe)
 {
-  ApplyAll(aNow, aProbe.updates, true);
+  ApplyUpdates(aNow, aProbe.updates, true);
   const auto target = members_.find(aProbe.target);
   if (target == members_.end())
     return;
   const uint64_t nonce = random_.Next();
-  relays_[nonce] = { .nonce = aProbe.nonce, .asker = aFrom, .sentAt = aNow.monotonic };
+  relayedProbes_[nonce] = { .nonce = aProbe.nonce, .requester = aFrom, .sentAt = aNow.monotonic };
   hooks_.sendDatagram(target->second.update.vm.peers,
-                      Probe{ .nonce = nonce, .updates = Piggyback(aProbe.target) });
+                      Probe{ .nonce = nonce, .updates = TakePiggybackUpdates(aProbe.target) });
 }
 
 void
-Membership::OnAck(Now aNow, const ProbeAck& aAck)
+Membership::OnProbeAck(Now aNow, const ProbeAck& aAck)
 {
-  ApplyAll(aNow, aAck.updates, true);
-  const auto relay = relays_.find(aAck.nonce);
-  if (relay != relays_.end()) {
-    hooks_.sendDatagram(relay->second.asker,
+  ApplyUpdates(aNow, aAck.updates, true);
+  const auto relay = relayedProbes_.find(aAck.nonce);
+  if (relay != relayedProbes_.end()) {
+    hooks_.sendDatagram(relay->second.requester,
                         ProbeAck{ .nonce = relay->second.nonce, .updates = aAck.updates });
-    relays_.erase(relay);
+    relayedProbes_.erase(relay);
     return;
   }
-  const auto entry = outstanding_.find(aAck.nonce);
-  if (entry == outstanding_.end())
+  const auto entry = pendingProbes_.find(aAck.nonce);
+  if (entry == pendingProbes_.end())
     return;
-  const Outstanding probe = entry->second;
-  outstanding_.erase(entry);
+  const PendingProbe probe = entry->second;
+  pendingProbes_.erase(entry);
   lastAckedProbeSentAt_ = std::max(lastAckedProbeSentAt_.value_or(probe.sentAt), probe.sentAt);
   hooks_.probeAcknowledged(probe.sentAt);
   if (aAck.updates.empty())
@@ -524,18 +537,18 @@
   const Vm& sender = aAck.updates.front().vm;
   if (!probe.indirectSent) {
     const double seconds = ToSeconds(aNow.monotonic - probe.sentAt);
-    const auto [mean, first] = roundTripSeconds_.emplace(sender.region, seconds);
+    const auto [mean, first] = meanRoundTripSeconds_.emplace(sender.region, seconds);
     if (!first)
       mean->second += kRoundTripWeight * (seconds - mean->second);
   }
-  if (!synced_ && members_.contains(sender.id))
-    SyncWith(aNow, sender);
+  if (!memberListReceived_ && members_.contains(sender.id))
+    SendSyncRequest(aNow, sender);
 }
 
 void
-Membership::SyncWith(Now aNow, const Vm& aVm)
+Membership::SendSyncRequest(Now aNow, const Vm& aVm)
 {
-  nextSync_ = aNow.monotonic + SyncPeriod();
+  nextSyncAt_ = aNow.monotonic + SyncPeriod();
   hooks_.sendStream(aVm, MakeSync(true));
 }
 
@@ -552,11 +565,11 @@
 void
 Membership::OnSync(Now aNow, const VmId& aFrom, const MemberSync& aSync)
 {
-  // New members in a sync are known to the sender already; passing each one on would flood the
-  // fleet whenever a VM starts. The sender itself is passed on.
+  // New members in a sync are known to the sender already; disseminating each one would flood
+  // the fleet whenever a VM starts. The sender itself is disseminated.
   for (const MemberUpdate& update : aSync.members)
-    ApplyAll(aNow, { update }, update.vm.id == aFrom);
-  synced_ = synced_ || !aSync.wantsReply;
+    ApplyUpdates(aNow, { update }, update.vm.id == aFrom);
+  memberListReceived_ = memberListReceived_ || !aSync.wantsReply;
   const auto sender = members_.find(aFrom);
   if (aSync.wantsReply && sender != members_.end())
     hooks_.sendStream(sender->second.update.vm, MakeSync(false));
@@ -569,20 +582,21 @@
   for (const PlatformVm& entry : aVms) {
     listed.insert(entry.vm.id);
     if (entry.vm.id != self_.vm.id && !members_.contains(entry.vm.id))
-      lost_.try_emplace(entry.vm.id, Lost{ .vm = entry.vm, .nextProbe = aNow.monotonic });
+      unreachableVms_.try_emplace(entry.vm.id,
+                                  UnreachableVm{ .vm = entry.vm, .nextProbeAt = aNow.monotonic });
   }
-  std::erase_if(lost_, [&](const auto& aEntry) {
+  std::erase_if(unreachableVms_, [&](const auto& aEntry) {
     return !listed.contains(aEntry.first) && !members_.contains(aEntry.first);
   });
   for (auto entry = members_.begin(); entry != members_.end();) {
     Member& member = entry->second;
     if (IsLive(member.update.state) || listed.contains(entry->first) ||
-        aNow.monotonic - member.endedAt < options_.forgetAfter) {
+        aNow.monotonic - member.endedAt < options_.deadMemberRetention) {
       ++entry;
       continue;
     }
-    Dequeue(member);
-    lost_.erase(entry->first);
+    DequeueUpdate(member);
+    unreachableVms_.erase(entry->first);
     member.update.state = MemberState::Left;
     hooks_.memberChanged(member.update);
     entry = members_.erase(entry);
@@ -606,8 +620,9 @@
   self_.state = MemberState::Left;
   ++self_.sequence;
   ++epoch_;
-  for (const Vm* vm : RandomLive(kLeaveMessages, VmId()))
-    hooks_.sendDatagram(vm->peers, Probe{ .nonce = random_.Next(), .updates = Piggyback(vm->id) });
+  for (const Vm* vm : RandomLiveVms(kLeaveMessageCount, VmId()))
+    hooks_.sendDatagram(vm->peers,
+                        Probe{ .nonce = random_.Next(), .updates = TakePiggybackUpdates(vm->id) });
 }
 
 void
@@ -685,9 +700,10 @@
   // This run replaced every other run of this VM.
   if (aInstance.vm == self_.vm.id)
     return InstanceState::Dead;
-  const auto& superseded = members_.at(aInstance.vm).superseded;
+  const auto& supersededRuns = members_.at(aInstance.vm).supersededRuns;
   const bool earlier =
-    std::find(superseded.begin(), superseded.end(), aInstance.incarnation) != superseded.end();
+    std::find(supersededRuns.begin(), supersededRuns.end(), aInstance.incarnation) !=
+    supersededRuns.end();
   return earlier ? InstanceState::Dead : InstanceState::Unknown;
 }
 
@@ -712,9 +728,9 @@
     const RegionId& region = member.update.vm.region;
     if (region == self_.vm.region || regions.contains(region))
       continue;
-    const auto measured = roundTripSeconds_.find(region);
-    regions[region] =
-      measured == roundTripSeconds_.end() ? std::numeric_limits<double>::max() : measured->second;
+    const auto measured = meanRoundTripSeconds_.find(region);
+    regions[region] = measured == meanRoundTripSeconds_.end() ? std::numeric_limits<double>::max()
+                                                              : measured->second;
   }
   std::vector<RegionId> names;
   names.reserve(regions.size());
--- a/lib/Membership/PauseDetector.cpp
+++ b/lib/Membership/PauseDetector.cpp
@@ -5,11 +5,11 @@
 bool
 PauseDetector::OnTick(TimePoint aNow)
 {
-  const bool paused = lastTick_ && aNow - *lastTick_ > options_.longestStep;
-  lastTick_ = aNow;
+  const bool paused = lastTickAt_ && aNow - *lastTickAt_ > options_.maxTickInterval;
+  lastTickAt_ = aNow;
   if (paused)
     resumedAt_ = aNow;
-  else if (resumedAt_ && aNow - *resumedAt_ >= options_.aloneWait)
+  else if (resumedAt_ && aNow - *resumedAt_ >= options_.maxAckWait)
     resumedAt_.reset();
   return paused;
 }
@@ -24,7 +24,7 @@
 bool
 PauseDetector::MayDispatch(TimePoint aNow) const
 {
-  return lastTick_ && aNow - *lastTick_ <= options_.longestStep && !resumedAt_;
+  return lastTickAt_ && aNow - *lastTickAt_ <= options_.maxTickInterval && !resumedAt_;
 }
 
 } // namespace dfm
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// One probe round without an answer (0.3 s after at most a period), the suspicion (1 s), the way of
-// the news, and a margin for a probe that several VMs send late.
-constexpr Duration kDeadBound = 3s;
-// A wrongly dead member is probed again within 5 s; its refutation then spreads.
-constexpr Duration kRecoverBound = 8s;
+// One probe round without an answer (0.3 s after at most a period), the suspicion (1 s), the
+// propagation of the update, and a margin for a probe that several VMs send late.
+constexpr Duration kMaxDeathDetectionTime = 3s;
+// A member wrongly declared dead is probed again within 5 s; its refutation then spreads.
+constexpr Duration kMaxRecoveryTime = 8s;
 
 using Command = std::tuple<uint8_t, uint8_t, uint8_t>;
 
@@ -64,7 +64,7 @@
     fleet.RunFor(Duration(second * 20'000));
   }
 
-  /// Ends all faults but the deaths.
+  /// Ends all faults; killed VMs stay down.
   void Heal()
   {
     fleet.HealNetwork();
@@ -72,8 +72,8 @@
       fleet.Resume(i);
   }
 
-  /// What aNode gets wrong about the fleet; empty when nothing.
-  std::string Wrong(const SimulatedFleet::Node& aNode) const
+  /// Describes the first VM whose state in aNode's view differs from the real one; empty if none.
+  std::string FindMismatch(const SimulatedFleet::Node& aNode) const
   {
     const auto routable = aNode.membership->LiveNotLeaving();
     for (size_t i = 0; i < kVmCount; ++i) {
@@ -91,11 +91,11 @@
     return {};
   }
 
-  std::string Wrong() const
+  std::string FindMismatch() const
   {
     for (const auto& node : fleet.nodes) {
-      if (node.running && !Wrong(node).empty())
-        return Wrong(node);
+      if (node.running && !FindMismatch(node).empty())
+        return FindMismatch(node);
     }
     return {};
   }
@@ -112,14 +112,14 @@
 {
   const bool ok = rc::check([](uint64_t aSeed, const std::vector<Command>& aCommands) {
     MembershipMachine machine(aSeed);
-    RC_ASSERT(machine.Wrong() == "");
+    RC_ASSERT(machine.FindMismatch() == "");
     for (const Command& command : aCommands)
       machine.Run(command);
     machine.Heal();
     if (machine.fleet.Running() == 0)
       machine.fleet.Start(0);
-    machine.fleet.RunFor(kRecoverBound);
-    RC_ASSERT(machine.Wrong() == "");
+    machine.fleet.RunFor(kMaxRecoveryTime);
+    RC_ASSERT(machine.FindMismatch() == "");
     RC_ASSERT(machine.fleet.faults.empty());
 
     // From a healthy state a death and a mark as leaving are known within their bounds.
@@ -130,8 +130,8 @@
       machine.fleet.nodes[leaver].membership->SetLeaving(machine.fleet.Time());
       machine.leaving.insert(leaver);
     }
-    machine.fleet.RunFor(kDeadBound);
-    RC_ASSERT(machine.Wrong() == "");
+    machine.fleet.RunFor(kMaxDeathDetectionTime);
+    RC_ASSERT(machine.FindMismatch() == "");
   });
   cr_assert(ok);
 }
@@ -161,7 +161,7 @@
     machine.fleet.RunFor(kTick);
     cr_assert(node.membership->LiveMembers().size() == kVmCount);
   }
-  cr_assert(machine.Wrong().empty(), "%s", machine.Wrong().c_str());
+  cr_assert(machine.FindMismatch().empty(), "%s", machine.FindMismatch().c_str());
 }
 
 // Guards against a dead VM that stays in use for as long as this VM was paused, because a suspicion
@@ -188,7 +188,7 @@
   cr_assert(membership.Find(peer.vm.id)->state == MemberState::Dead);
 }
 
-// Guards against members that stay forever although the platform has removed them.
+// Guards against members that are kept forever although the platform has removed them.
 Test(Membership, ForgetsDeadVmsThatThePlatformNoLongerLists)
 {
   MembershipMachine machine(2);
