--- a/include/dragonflymoor/Recovery/CrashRegistry.h
+++ b/include/dragonflymoor/Recovery/CrashRegistry.h
@@ -18,13 +18,13 @@
   uint32_t crashesToBlock = 2;
   Duration blockDuration = 10min; ///< Also how long a single crash is remembered.
   size_t maxBlockedPerWorkspace = 64;
-  size_t maxSuspectsPerWorkspace = 256; ///< Fingerprints with fewer crashes that are remembered.
-  size_t maxWorkspaces = 1'000;         ///< The workspace without a crash for longest goes first.
-  size_t maxReports = 65'536;           ///< Report ids remembered so that repeats count once.
+  size_t maxSuspectsPerWorkspace = 256; ///< Remembered fingerprints with fewer crashes.
+  size_t maxWorkspaces = 1'000; ///< Beyond it, the workspace whose last crash is oldest is dropped.
+  size_t maxReports = 65'536;   ///< Remembered report ids, so that a repeated report counts once.
 };
 
 /// Counts the server crashes that a request caused on the whole fleet, and blocks its fingerprint
-/// after two. All memory is bounded. Not thread-safe.
+/// after crashesToBlock of them (two by default). All memory is bounded. Not thread-safe.
 class CrashRegistry
 {
 public:
@@ -34,10 +34,10 @@
   /// A server of this VM crashed on a request (AttemptEnd::Crashed). The report goes to all VMs.
   CrashReport OnCrash(TimePoint aNow, const WorkspaceId& aWorkspace, uint64_t aFingerprint);
 
-  /// A report of another VM. False when it is a repeat and was not counted.
+  /// Handles a report from another VM. Returns false if it was a repeat, which is not counted.
   bool OnReport(TimePoint aNow, const CrashReport& aReport);
 
-  /// Reports of all crashes that still count, for a VM that has just started.
+  /// Reports of all crashes within the last blockDuration, for a VM that has just started.
   std::vector<CrashReport> Reports(TimePoint aNow) const;
 
   /// Whether a request must not be sent to a server. Must be asked right before each attempt.
@@ -49,36 +49,36 @@
   struct Crash
   {
     uint64_t reportId = 0;
-    TimePoint at;
+    TimePoint crashedAt;
   };
-  struct Entry
+  struct FingerprintCrashes
   {
     uint64_t fingerprint = 0;
     std::vector<Crash> crashes; ///< At most crashesToBlock.
-    TimePoint lastCrash;
+    TimePoint lastCrashAt;
     TimePoint blockedUntil;
   };
   struct Workspace
   {
-    std::list<Entry> suspects; ///< Oldest last crash first.
-    std::list<Entry> blocked;  ///< Oldest block first.
-    TimePoint lastCrash;
+    std::list<FingerprintCrashes> suspects; ///< Oldest last crash first.
+    std::list<FingerprintCrashes> blocked;  ///< Oldest block first.
+    TimePoint lastCrashAt;
   };
 
-  void Count(TimePoint aNow, const CrashReport& aReport);
-  void AddReports(TimePoint aNow,
-                  const WorkspaceId& aWorkspace,
-                  const std::list<Entry>& aEntries,
-                  std::vector<CrashReport>& aReports) const;
-  void Expire(TimePoint aNow, Workspace& aWorkspace) const;
+  void CountCrash(TimePoint aNow, const CrashReport& aReport);
+  void AppendReports(TimePoint aNow,
+                     const WorkspaceId& aWorkspace,
+                     const std::list<FingerprintCrashes>& aEntries,
+                     std::vector<CrashReport>& aReports) const;
+  void RemoveExpired(TimePoint aNow, Workspace& aWorkspace) const;
   bool RememberReport(uint64_t aReportId);
-  void DropOldestWorkspace();
+  void DropWorkspaceWithOldestCrash();
 
   CrashRegistryOptions options_;
-  uint64_t nextReport_;
+  uint64_t nextReportId_;
   std::unordered_map<WorkspaceId, Workspace> workspaces_;
-  std::unordered_set<uint64_t> reports_;
-  std::deque<uint64_t> reportOrder_;
+  std::unordered_set<uint64_t> knownReportIds_;
+  std::deque<uint64_t> reportIdsInOrder_;
 };
 
 } // namespace dfm
--- a/include/dragonflymoor/Recovery/HedgePolicy.h
+++ b/include/dragonflymoor/Recovery/HedgePolicy.h
@@ -17,7 +17,7 @@
 struct HedgePolicyOptions
 {
   size_t window = 256;     ///< Recent answer times kept for each pool.
-  size_t minSamples = 32;  ///< Fewer answer times say too little about the 95th percentile.
+  size_t minSamples = 32;  ///< With fewer, the 95th percentile is too inaccurate.
   Duration minDelay = 2ms; ///< No second attempt earlier than this.
 };
 
@@ -25,20 +25,20 @@
 {
   /// Asks for a second attempt on another server; returns it, or nothing when no other server can
   /// take it now. Must not call the HedgePolicy before it returns.
-  std::function<std::optional<AttemptId>(RequestId)> startSecond;
+  std::function<std::optional<AttemptId>(RequestId)> startHedge;
   /// Cancels the slower attempt.
   std::function<void(AttemptId)> cancelAttempt;
 };
 
-/// What remains to be done when an attempt ends.
+/// What the end of an attempt means for its request.
 enum class HedgeEnd
 {
-  /// No other attempt of the request is running: its end decides. After a failure either OnStarted
-  /// (retry) or OnRequestGone must follow.
-  Last,
-  Won,        ///< The first complete answer; the other attempt was cancelled.
-  OtherRuns,  ///< This attempt failed but the other one still runs: wait for it.
-  Superseded, ///< The request was already answered: ignore this end.
+  /// No other attempt of the request is running: its end decides. After a failure either
+  /// OnAttemptStarted (retry) or OnRequestEnded must follow.
+  LastAttempt,
+  Won,                 ///< The first complete answer; the other attempt was cancelled.
+  OtherAttemptRunning, ///< This attempt failed but the other one still runs: wait for it.
+  Superseded,          ///< The request was already answered: ignore this end.
 };
 
 /// Starts a second attempt of urgent idempotent requests that take longer than the recent 95th
@@ -51,28 +51,28 @@
   HedgePolicy(HedgePolicyOptions aOptions, HedgePolicyHooks aHooks, RetryBudget& aBudget);
 
   /// A first attempt was started. Only urgent idempotent requests get a second one.
-  void OnStarted(TimePoint aNow,
-                 RequestId aRequest,
-                 AttemptId aAttempt,
-                 const PoolId& aPool,
-                 Rank aRank,
-                 bool aIdempotent,
-                 TimePoint aDeadline);
+  void OnAttemptStarted(TimePoint aNow,
+                        RequestId aRequest,
+                        AttemptId aAttempt,
+                        const PoolId& aPool,
+                        Rank aRank,
+                        bool aIdempotent,
+                        TimePoint aDeadline);
 
-  /// Any attempt reported to OnStarted or returned by startSecond has ended.
-  HedgeEnd OnEnded(TimePoint aNow, AttemptId aAttempt, AttemptEnd aEnd, Duration aElapsed);
+  /// Any attempt reported to OnAttemptStarted or returned by startHedge has ended.
+  HedgeEnd OnAttemptEnded(TimePoint aNow, AttemptId aAttempt, AttemptEnd aEnd, Duration aElapsed);
 
   /// The request ended for another reason. The caller cancels its attempts itself.
-  void OnRequestGone(RequestId aRequest);
+  void OnRequestEnded(RequestId aRequest);
 
   /// Starts the second attempts that are due. Must be called at least every few milliseconds while
-  /// NextDue is set.
+  /// NextHedgeAt is set.
   void OnTick(TimePoint aNow);
   /// When the next second attempt is due.
-  std::optional<TimePoint> NextDue() const;
+  std::optional<TimePoint> NextHedgeAt() const;
 
   /// Delay before a second attempt in a pool; empty while too little is known.
-  std::optional<Duration> DelayOf(const PoolId& aPool) const;
+  std::optional<Duration> HedgeDelay(const PoolId& aPool) const;
 
 private:
   struct Samples
@@ -81,26 +81,26 @@
     size_t next = 0;
     Duration percentile{};
   };
-  struct Race
+  struct TrackedRequest
   {
     PoolId pool;
-    std::set<AttemptId> running;
-    std::optional<TimePoint> due;
+    std::set<AttemptId> runningAttempts;
+    std::optional<TimePoint> hedgeAt;
     TimePoint deadline;
     bool hedged = false; ///< A second attempt was started.
   };
 
-  void Record(const PoolId& aPool, Duration aElapsed);
-  void StartSecond(RequestId aRequest);
-  void ClearDue(RequestId aRequest, Race& aRace);
+  void RecordAnswerTime(const PoolId& aPool, Duration aElapsed);
+  void StartHedge(RequestId aRequest);
+  void UnscheduleHedge(RequestId aRequest, TrackedRequest& aTracked);
 
   HedgePolicyOptions options_;
   HedgePolicyHooks hooks_;
   RetryBudget& budget_;
   std::map<PoolId, Samples> samples_;
-  std::map<RequestId, Race> races_;
+  std::map<RequestId, TrackedRequest> trackedRequests_;
   std::map<AttemptId, RequestId> attempts_;
-  std::set<std::pair<TimePoint, RequestId>> due_;
+  std::set<std::pair<TimePoint, RequestId>> hedgeSchedule_;
 };
 
 } // namespace dfm
--- a/include/dragonflymoor/Recovery/RetryBudget.h
+++ b/include/dragonflymoor/Recovery/RetryBudget.h
@@ -8,8 +8,8 @@
 
 struct RetryBudgetOptions
 {
-  double earnedPerRequest = 0.1; ///< Additional attempts earned by each request.
-  double burst = 10;             ///< Most additional attempts that can be saved up.
+  double earnedPerRequest = 0.1; ///< Additional attempts that each request earns.
+  double burst = 10;             ///< Upper bound of saved additional attempts.
 };
 
 /// Bounds the additional attempts of each service on one VM, so that retries cannot multiply an
@@ -19,18 +19,18 @@
 public:
   explicit RetryBudget(RetryBudgetOptions aOptions = {});
 
-  /// Changes how many attempts can be saved up, also for those that are saved up already.
+  /// Changes the upper bound of saved attempts; saved attempts above it are lost.
   void SetBurst(double aBurst);
   /// Counts a request that entered this VM; not its retries.
   void OnRequest(const ServiceId& aService);
-  /// Takes one additional attempt; false when the budget is used up.
+  /// Consumes one additional attempt; returns false if the budget is used up.
   [[nodiscard]] bool TryTakeAttempt(const ServiceId& aService);
-  /// Additional attempts left.
-  double Left(const ServiceId& aService) const;
+  /// Additional attempts that are still available.
+  double Remaining(const ServiceId& aService) const;
 
 private:
   RetryBudgetOptions options_;
-  std::unordered_map<ServiceId, double> left_;
+  std::unordered_map<ServiceId, double> remaining_;
 };
 
 } // namespace dfm
--- a/include/dragonflymoor/Recovery/RetryPolicy.h
+++ b/include/dragonflymoor/Recovery/RetryPolicy.h
@@ -12,21 +12,22 @@
 
 struct RetryPolicyOptions
 {
-  /// Further tries after attempts that certainly ran nothing; they do not use the budget.
+  /// Free tries: further tries after attempts that certainly did not run the request. They do not
+  /// use the retry budget.
   uint32_t maxFreeTries = 3;
-  /// Further tries after attempts that may have run. Two crashes block a fingerprint, so a third
-  /// attempt of this kind is rarely useful.
+  /// Budget tries: further tries after attempts that may have run, taken from the retry budget. Two
+  /// crashes block a fingerprint, so a third attempt of this kind is rarely useful.
   uint32_t maxBudgetTries = 2;
 };
 
-/// What is known of a request when one of its attempts ends.
+/// State of a request at the end of one of its attempts, as input of the retry decision.
 struct RetryFacts
 {
   ServiceId service;
   bool idempotent = true;
   TimePoint deadline;
-  Duration expectedTime{};           ///< Usual time of one attempt, with the way to the server.
-  uint32_t freeTries = 0;            ///< Free further tries so far.
+  Duration expectedTime{}; ///< Usual time of one attempt, including the network time to the server.
+  uint32_t freeTries = 0;  ///< Free further tries so far.
   uint32_t budgetTries = 0;          ///< Further tries from the budget so far.
   bool otherServerAvailable = false; ///< A server that the request has not tried can take it.
   bool fingerprintBlocked = false;   ///< CrashRegistry blocks the fingerprint.
@@ -52,11 +53,12 @@
   auto operator<=>(const RetryDecision&) const = default;
 };
 
-/// Whether an attempt that ended so certainly ran nothing. Safe to call from any thread.
+/// Whether an attempt with this end certainly did not run the request. Safe to call from any
+/// thread.
 bool
 CertainlyNotRun(AttemptEnd aEnd);
 
-/// Reason that stands for the end of an attempt. Safe to call from any thread.
+/// Reason to report for the end of an attempt. Safe to call from any thread.
 Reason
 ReasonOf(AttemptEnd aEnd);
 
@@ -69,8 +71,8 @@
 
   RetryDecision DecideAfterAttempt(TimePoint aNow, AttemptEnd aEnd, const RetryFacts& aFacts);
 
-  /// The same for a pool owner that answered a forward. Its answers NotOwner, RegionBusy,
-  /// ServerShed and the like with outcome NotRun allow a free try elsewhere.
+  /// Like DecideAfterAttempt, for the answer of a pool owner to a forwarded request. Its answers
+  /// NotOwner, RegionBusy, ServerShed and the like with outcome NotRun allow a free try elsewhere.
   RetryDecision DecideAfterForward(TimePoint aNow,
                                    Outcome aOutcome,
                                    Reason aReason,
--- a/lib/Recovery/HedgePolicy.cpp
+++ b/lib/Recovery/HedgePolicy.cpp
@@ -10,115 +10,119 @@
   , hooks_(std::move(aHooks))
   , budget_(aBudget)
 {
-  assert(hooks_.startSecond && hooks_.cancelAttempt && "hook missing");
+  assert(hooks_.startHedge && hooks_.cancelAttempt && "hedge hook missing");
 }
 
 void
-HedgePolicy::OnStarted(TimePoint aNow,
-                       RequestId aRequest,
-                       AttemptId aAttempt,
-                       const PoolId& aPool,
-                       Rank aRank,
-                       bool aIdempotent,
-                       TimePoint aDeadline)
+HedgePolicy::OnAttemptStarted(TimePoint aNow,
+                              RequestId aRequest,
+                              AttemptId aAttempt,
+                              const PoolId& aPool,
+                              Rank aRank,
+                              bool aIdempotent,
+                              TimePoint aDeadline)
 {
-  Race& race = races_[aRequest];
-  ClearDue(aRequest, race);
-  race.pool = aPool;
-  race.deadline = aDeadline;
-  race.running.insert(aAttempt);
+  TrackedRequest& tracked = trackedRequests_[aRequest];
+  UnscheduleHedge(aRequest, tracked);
+  tracked.pool = aPool;
+  tracked.deadline = aDeadline;
+  tracked.runningAttempts.insert(aAttempt);
   attempts_[aAttempt] = aRequest;
-  const auto delay = DelayOf(aPool);
-  const bool eligible = aRank == Rank::Urgent && aIdempotent && !race.hedged;
+  const auto delay = HedgeDelay(aPool);
+  const bool eligible = aRank == Rank::Urgent && aIdempotent && !tracked.hedged;
   // A second attempt that cannot end in time would only use a slot.
   if (!eligible || !delay || aNow + *delay * 2 > aDeadline)
     return;
-  race.due = aNow + *delay;
-  due_.emplace(*race.due, aRequest);
+  tracked.hedgeAt = aNow + *delay;
+  hedgeSchedule_.emplace(*tracked.hedgeAt, aRequest);
 }
 
 HedgeEnd
-HedgePolicy::OnEnded(TimePoint /*aNow*/, AttemptId aAttempt, AttemptEnd aEnd, Duration aElapsed)
+HedgePolicy::OnAttemptEnded(TimePoint /*aNow*/,
+                            AttemptId aAttempt,
+                            AttemptEnd aEnd,
+                            Duration aElapsed)
 {
   const auto attempt = attempts_.find(aAttempt);
   if (attempt == attempts_.end())
     return HedgeEnd::Superseded;
   const RequestId request = attempt->second;
   attempts_.erase(attempt);
-  const auto found = races_.find(request);
-  Race& race = found->second;
-  race.running.erase(aAttempt);
+  const auto found = trackedRequests_.find(request);
+  TrackedRequest& tracked = found->second;
+  tracked.runningAttempts.erase(aAttempt);
   if (aEnd == AttemptEnd::Answered)
-    Record(race.pool, aElapsed);
-  else if (!race.running.empty())
-    return HedgeEnd::OtherRuns;
-  const std::set<AttemptId> losers = race.running;
-  ClearDue(request, race);
-  if (losers.empty()) {
-    // A failed request may be retried; its race then starts anew, without another second attempt.
+    RecordAnswerTime(tracked.pool, aElapsed);
+  else if (!tracked.runningAttempts.empty())
+    return HedgeEnd::OtherAttemptRunning;
+  const std::set<AttemptId> otherAttempts = tracked.runningAttempts;
+  UnscheduleHedge(request, tracked);
+  if (otherAttempts.empty()) {
+    // A failed request may be retried; it stays tracked, so that a request that already had a
+    // second attempt gets no other.
     if (aEnd == AttemptEnd::Answered)
-      races_.erase(found);
-    return HedgeEnd::Last;
+      trackedRequests_.erase(found);
+    return HedgeEnd::LastAttempt;
   }
-  races_.erase(found);
-  for (const AttemptId loser : losers) {
-    attempts_.erase(loser);
-    hooks_.cancelAttempt(loser);
+  trackedRequests_.erase(found);
+  for (const AttemptId otherAttempt : otherAttempts) {
+    attempts_.erase(otherAttempt);
+    hooks_.cancelAttempt(otherAttempt);
   }
   return HedgeEnd::Won;
 }
 
 void
-HedgePolicy::OnRequestGone(RequestId aRequest)
+HedgePolicy::OnRequestEnded(RequestId aRequest)
 {
-  const auto found = races_.find(aRequest);
-  if (found == races_.end())
+  const auto found = trackedRequests_.find(aRequest);
+  if (found == trackedRequests_.end())
     return;
-  ClearDue(aRequest, found->second);
-  for (const AttemptId attempt : found->second.running)
+  UnscheduleHedge(aRequest, found->second);
+  for (const AttemptId attempt : found->second.runningAttempts)
     attempts_.erase(attempt);
-  races_.erase(found);
+  trackedRequests_.erase(found);
 }
 
 void
 HedgePolicy::OnTick(TimePoint aNow)
 {
-  while (!due_.empty() && due_.begin()->first <= aNow) {
-    const RequestId request = due_.begin()->second;
-    Race& race = races_.at(request);
-    ClearDue(request, race);
-    if (aNow < race.deadline)
-      StartSecond(request);
+  while (!hedgeSchedule_.empty() && hedgeSchedule_.begin()->first <= aNow) {
+    const RequestId request = hedgeSchedule_.begin()->second;
+    TrackedRequest& tracked = trackedRequests_.at(request);
+    UnscheduleHedge(request, tracked);
+    if (aNow < tracked.deadline)
+      StartHedge(request);
   }
 }
 
 void
-HedgePolicy::StartSecond(RequestId aRequest)
+HedgePolicy::StartHedge(RequestId aRequest)
 {
-  Race& race = races_.at(aRequest);
-  if (budget_.Left(race.pool.service) < 1)
+  TrackedRequest& tracked = trackedRequests_.at(aRequest);
+  if (budget_.Remaining(tracked.pool.service) < 1)
     return;
-  const auto attempt = hooks_.startSecond(aRequest);
+  const auto attempt = hooks_.startHedge(aRequest);
   if (!attempt)
     return;
-  const bool taken = budget_.TryTakeAttempt(race.pool.service);
+  const bool taken = budget_.TryTakeAttempt(tracked.pool.service);
   assert(taken && "budget changed within one decision");
   (void)taken;
-  race.hedged = true;
-  race.running.insert(*attempt);
+  tracked.hedged = true;
+  tracked.runningAttempts.insert(*attempt);
   attempts_[*attempt] = aRequest;
 }
 
 std::optional<TimePoint>
-HedgePolicy::NextDue() const
+HedgePolicy::NextHedgeAt() const
 {
-  if (due_.empty())
+  if (hedgeSchedule_.empty())
     return std::nullopt;
-  return due_.begin()->first;
+  return hedgeSchedule_.begin()->first;
 }
 
 std::optional<Duration>
-HedgePolicy::DelayOf(const PoolId& aPool) const
+HedgePolicy::HedgeDelay(const PoolId& aPool) const
 {
   const auto found = samples_.find(aPool);
   if (found == samples_.end() || found->second.times.size() < options_.minSamples)
@@ -127,17 +131,18 @@
 }
 
 void
-HedgePolicy::Record(const PoolId& aPool, Duration aElapsed)
+HedgePolicy::RecordAnswerTime(const PoolId& aPool, Duration aElapsed)
 {
   constexpr double kPercentile = 0.95;
-  constexpr size_t kUpdateEvery = 16; // Sorting on each answer would cost more than it tells.
+  // Sorting on each answer would cost more than the added accuracy is worth.
+  constexpr size_t kSamplesPerUpdate = 16;
   Samples& samples = samples_[aPool];
   if (samples.times.size() < options_.window)
     samples.times.push_back(aElapsed);
   else
     samples.times[samples.next % options_.window] = aElapsed;
   ++samples.next;
-  if (samples.next % kUpdateEvery != 0 && samples.next != options_.minSamples)
+  if (samples.next % kSamplesPerUpdate != 0 && samples.next != options_.minSamples)
     return;
   std::vector<Duration> sorted = samples.times;
   const auto index = static_cast<size_t>(kPercentile * static_cast<double>(sorted.size() - 1));
@@ -147,11 +152,11 @@
 }
 
 void
-HedgePolicy::ClearDue(RequestId aRequest, Race& aRace)
+HedgePolicy::UnscheduleHedge(RequestId aRequest, TrackedRequest& aTracked)
 {
-  if (aRace.due)
-    due_.erase({ *aRace.due, aRequest });
-  aRace.due.reset();
+  if (aTracked.hedgeAt)
+    hedgeSchedule_.erase({ *aTracked.hedgeAt, aRequest });
+  aTracked.hedgeAt.reset();
 }
 
 } // namespace dfm
--- a/lib/Recovery/RetryBudget.cpp
+++ b/lib/Recovery/RetryBudget.cpp
@@ -13,34 +13,34 @@
 RetryBudget::SetBurst(double aBurst)
 {
   options_.burst = aBurst;
-  for (auto& [service, left] : left_)
+  for (auto& [service, left] : remaining_)
     left = std::min(left, aBurst);
 }
 
 void
 RetryBudget::OnRequest(const ServiceId& aService)
 {
-  double& left = left_.try_emplace(aService, options_.burst).first->second;
+  double& left = remaining_.try_emplace(aService, options_.burst).first->second;
   left = std::min(left + options_.earnedPerRequest, options_.burst);
 }
 
 bool
 RetryBudget::TryTakeAttempt(const ServiceId& aService)
 {
-  // A sum of tenths may stay just below the whole number that it stands for.
-  constexpr double kRounding = 1e-9;
-  double& left = left_.try_emplace(aService, options_.burst).first->second;
-  if (left + kRounding < 1)
+  // A sum of tenths may be slightly below the whole number because of rounding.
+  constexpr double kRoundingTolerance = 1e-9;
+  double& left = remaining_.try_emplace(aService, options_.burst).first->second;
+  if (left + kRoundingTolerance < 1)
     return false;
   left = std::max(left - 1, 0.0);
   return true;
 }
 
 double
-RetryBudget::Left(const ServiceId& aService) const
+RetryBudget::Remaining(const ServiceId& aService) const
 {
-  const auto found = left_.find(aService);
-  return found == left_.end() ? options_.burst : found->second;
+  const auto found = remaining_.find(aService);
+  return found == remaining_.end() ? options_.burst : found->second;
 }
 
 } // namespace dfm
--- a/lib/Recovery/RetryPolicy.cpp
+++ b/lib/Recovery/RetryPolicy.cpp
@@ -32,7 +32,7 @@
 
 namespace {
 
-/// Whether a pool owner that refused with this reason leaves hope that another pool takes it.
+/// Whether another pool may accept a request that a pool owner refused with this reason.
 bool
 MayTryElsewhere(Reason aReason)
 {
@@ -95,7 +95,8 @@
                           .outcome = Outcome::Answered,
                           .reason = Reason::None };
   }
-  // After a timeout no time is left; a cancelled attempt has nobody who waits for it.
+  // After a timeout no time is left for a retry; nobody waits for the answer of a cancelled
+  // attempt.
   if (aEnd == AttemptEnd::TimedOut || aEnd == AttemptEnd::Cancelled)
     return GiveUp(true, ReasonOf(aEnd));
   return DecideAfterFailure(aNow, CertainlyNotRun(aEnd), ReasonOf(aEnd), aFacts);
@@ -124,16 +125,16 @@
   const bool mayHaveRun = aFacts.mayHaveRun || !aCertainlyNotRun;
   if (mayHaveRun && !aFacts.idempotent)
     return GiveUp(true, aReason);
-  // The fingerprint has crashed servers, so a caller that repeats it does no good.
+  // The fingerprint has crashed servers; this reason tells the caller that repeating it is useless.
   if (aFacts.fingerprintBlocked)
     return GiveUp(mayHaveRun, Reason::CrashQuarantine);
   if (!aFacts.otherServerAvailable)
     return GiveUp(mayHaveRun, aReason);
   if (aNow + aFacts.expectedTime > aFacts.deadline)
     return GiveUp(mayHaveRun, Reason::DeadlineExceeded);
-  const bool triesLeft = aCertainlyNotRun ? aFacts.freeTries < options_.maxFreeTries
-                                          : aFacts.budgetTries < options_.maxBudgetTries;
-  if (!triesLeft)
+  const bool hasTriesLeft = aCertainlyNotRun ? aFacts.freeTries < options_.maxFreeTries
+                                             : aFacts.budgetTries < options_.maxBudgetTries;
+  if (!hasTriesLeft)
     return GiveUp(mayHaveRun, aReason);
   if (!aCertainlyNotRun && !budget_.TryTakeAttempt(aFacts.service))
     return GiveUp(mayHaveRun, Reason::RetryBudget);
--- a/unittests/Recovery/RecoveryTest.cpp
+++ b/unittests/Recovery/RecoveryTest.cpp
@@ -128,7 +128,7 @@
   return cr_make_param_array(RetryCase, cases, sizeof(cases) / sizeof(RetryCase));
 }
 
-// Guards against a repeated order, a retry without time or servers, and a false not-run.
+// Guards against a repeated order, a retry without time or servers, and a false outcome NotRun.
 ParameterizedTest(RetryCase* aCase, RetryPolicy, Decisions)
 {
   RetryBudget budget;
@@ -231,7 +231,7 @@
   cr_assert(blocked > 0);
 }
 
-// Guards against a customer whose whole traffic is blocked, and against unbounded memory.
+// Guards against a workspace whose whole traffic is blocked, and against unbounded memory.
 Test(CrashRegistry, BlocksAtMostSixtyFourAndTheOldestGo)
 {
   CrashRegistry registry({}, 1);
@@ -247,14 +247,14 @@
 }
 
 // Guards against second attempts beyond the budget, for requests that must not run twice, and
-// against a loser that keeps its slot.
+// against a slower attempt that keeps its slot.
 Test(HedgePolicy, StartsSecondAttemptsWithinTheBudget)
 {
   RetryBudget budget;
   std::vector<RequestId> seconds;
   std::vector<AttemptId> cancelled;
   HedgePolicy policy({},
-                     { .startSecond =
+                     { .startHedge =
                          [&](RequestId aRequest) {
                            seconds.push_back(aRequest);
                            return std::optional(AttemptId{ 10'000 + aRequest.value });
@@ -264,13 +264,13 @@
   const PoolId pool{ kService, FailureDomainId("fd") };
   const TimePoint deadline(10s);
   for (uint64_t i = 1; i <= 100; ++i) {
-    policy.OnStarted(
+    policy.OnAttemptStarted(
       TimePoint(), RequestId{ i }, AttemptId{ i }, pool, Rank::Normal, true, deadline);
-    policy.OnEnded(TimePoint(), AttemptId{ i }, AttemptEnd::Answered, Duration(1ms) * i);
+    policy.OnAttemptEnded(TimePoint(), AttemptId{ i }, AttemptEnd::Answered, Duration(1ms) * i);
   }
-  cr_assert(policy.DelayOf(pool) >= 90ms && policy.DelayOf(pool) <= 96ms);
+  cr_assert(policy.HedgeDelay(pool) >= 90ms && policy.HedgeDelay(pool) <= 96ms);
   for (uint64_t i = 200; i < 230; ++i) {
-    policy.OnStarted(
+    policy.OnAttemptStarted(
       TimePoint(), RequestId{ i }, AttemptId{ i }, pool, Rank::Urgent, i % 2 == 0, deadline);
   }
   policy.OnTick(TimePoint(80ms));
@@ -279,13 +279,13 @@
   cr_assert(seconds.size() == 10, "%zu second attempts", seconds.size());
   for (const RequestId request : seconds)
     cr_assert(request.value % 2 == 0);
-  cr_assert(policy.OnEnded(TimePoint(), AttemptId{ 200 }, AttemptEnd::Failed, 1ms) ==
-            HedgeEnd::OtherRuns);
-  cr_assert(policy.OnEnded(TimePoint(), AttemptId{ 10'200 }, AttemptEnd::Answered, 1ms) ==
-            HedgeEnd::Last);
-  cr_assert(policy.OnEnded(TimePoint(), AttemptId{ 10'202 }, AttemptEnd::Answered, 1ms) ==
+  cr_assert(policy.OnAttemptEnded(TimePoint(), AttemptId{ 200 }, AttemptEnd::Failed, 1ms) ==
+            HedgeEnd::OtherAttemptRunning);
+  cr_assert(policy.OnAttemptEnded(TimePoint(), AttemptId{ 10'200 }, AttemptEnd::Answered, 1ms) ==
+            HedgeEnd::LastAttempt);
+  cr_assert(policy.OnAttemptEnded(TimePoint(), AttemptId{ 10'202 }, AttemptEnd::Answered, 1ms) ==
             HedgeEnd::Won);
   cr_assert(cancelled == std::vector{ AttemptId{ 202 } });
-  cr_assert(policy.OnEnded(TimePoint(), AttemptId{ 202 }, AttemptEnd::Answered, 1ms) ==
+  cr_assert(policy.OnAttemptEnded(TimePoint(), AttemptId{ 202 }, AttemptEnd::Answered, 1ms) ==
             HedgeEnd::Superseded);
 }
