--- a/unittests/Admission/PlanLimiterTest.cpp
+++ b/unittests/Admission/PlanLimiterTest.cpp
@@ -51,7 +51,7 @@
   {
     const TimePoint now = fleet.LocalNow(aVm);
     std::erase_if(running_, [&](const Admitted& aEach) {
-      if (aEach.vm != aVm || aEach.ends > fleet.real)
+      if (aEach.vm != aVm || aEach.ends > fleet.realNow)
         return false;
       limiters_[aVm]->OnEnded(kPlan, kService, now);
       return true;
@@ -74,18 +74,18 @@
     const Duration most = FromSeconds(0.95 * ToSeconds(left)) + 1us;
     const bool isShort = random_.Below(10) != 0;
     aRequest.ends =
-      fleet.real + random_.Between(0us, isShort ? std::min(most, Duration(20ms)) : most);
+      fleet.realNow + random_.Between(0us, isShort ? std::min(most, Duration(20ms)) : most);
     running_.push_back(aRequest);
     ++admitted;
-    recent_.push_back(fleet.real);
-    while (recent_.front() <= fleet.real - 1s)
+    recent_.push_back(fleet.realNow);
+    while (recent_.front() <= fleet.realNow - 1s)
       recent_.pop_front();
     mostInWindow = std::max(mostInWindow, recent_.size());
     const double vms = static_cast<double>(fleet.nodes.size());
     RC_ASSERT(static_cast<double>(recent_.size()) <= kRate * (1 + kClockDrift) + kBurst + vms);
     const auto inFlight = static_cast<size_t>(
       std::count_if(running_.begin(), running_.end(), [&](const Admitted& aEach) {
-        return aEach.ends > fleet.real && fleet.nodes[aEach.vm].book;
+        return aEach.ends > fleet.realNow && fleet.nodes[aEach.vm].book;
       }));
     mostInFlight = std::max(mostInFlight, inFlight);
     RC_ASSERT(inFlight <= kMaxInFlight);
--- a/unittests/Links/LinkBudgetTest.cpp
+++ b/unittests/Links/LinkBudgetTest.cpp
@@ -88,9 +88,9 @@
   void Record(Rank aRank, uint64_t aBytes)
   {
     sentByRank.at(static_cast<size_t>(aRank)) += static_cast<double>(aBytes);
-    recent_.emplace_back(fleet.real, static_cast<double>(aBytes));
+    recent_.emplace_back(fleet.realNow, static_cast<double>(aBytes));
     window_ += static_cast<double>(aBytes);
-    while (recent_.front().first <= fleet.real - 1s) {
+    while (recent_.front().first <= fleet.realNow - 1s) {
       window_ -= recent_.front().second;
       recent_.pop_front();
     }
--- a/unittests/Shares/ShareBookTest.cpp
+++ b/unittests/Shares/ShareBookTest.cpp
@@ -10,9 +10,10 @@
 const ShareKey kLink = { .kind = ShareKind::LinkBytes, .name = "r0/r1" };
 constexpr double kAmount = 100;
 
-/// Sum of what all running VMs may use now; a paused VM may resume at any moment.
+/// Returns the sum of what all running VMs may use now. Paused VMs count, as they may resume at any
+/// moment.
 double
-SumOf(const ShareFleet& aFleet, const ShareKey& aKey)
+TotalAvailable(const ShareFleet& aFleet, const ShareKey& aKey)
 {
   double sum = 0;
   for (size_t i = 0; i < aFleet.nodes.size(); ++i) {
@@ -23,7 +24,7 @@
 }
 
 void
-Prepare(ShareFleet& aFleet)
+SetAmountsAndDemands(ShareFleet& aFleet)
 {
   aFleet.onStart = [&](size_t aVm) {
     aFleet.nodes[aVm].book->SetAmount(kPlan, kAmount, std::nullopt, aFleet.LocalNow(aVm));
@@ -38,22 +39,22 @@
 
 } // namespace
 
-// Guards against an amount that is used twice: by a borrower and its lender, by an old and a new
-// member of the roster, or by two runs of one VM.
+// Guards against double use of an amount: by a borrower and its lender, by a removed and a new VM
+// of the roster, or by two runs of one VM.
 Test(ShareBook, SumNeverExceedsTheAmount, .timeout = 280)
 {
   SetDefaultSeed("seed=20261204 max_success=400 max_size=80");
   size_t loans = 0;
-  size_t used = 0;
+  size_t nonZeroSums = 0;
   const bool ok = rc::check("the shares of all VMs stay within the amount", [&] {
     const auto seed = *rc::gen::arbitrary<uint64_t>();
     const auto history = *AnyHistory();
     ShareFleet fleet(*rc::gen::inRange<size_t>(2, 7), seed);
-    Prepare(fleet);
+    SetAmountsAndDemands(fleet);
     fleet.onStep = [&] {
       for (const ShareKey& key : { kPlan, kLink }) {
-        const double sum = SumOf(fleet, key);
-        used += sum > 0 ? 1 : 0;
+        const double sum = TotalAvailable(fleet, key);
+        nonZeroSums += sum > 0 ? 1 : 0;
         RC_ASSERT(sum <= kAmount * (1 + 1e-9));
       }
     };
@@ -61,38 +62,40 @@
     fleet.Run(4s);
     for (const FleetCommand& command : history)
       fleet.Apply(command);
-    loans += fleet.loans;
+    loans += fleet.grantsDelivered;
   });
   cr_assert(ok);
-  cr_log_info("loans %zu, checks with a sum above 0: %zu", loans, used);
-  cr_assert(loans > 1000 && used > 1000, "the histories lent almost nothing");
+  cr_log_info("loans %zu, checks with a sum above 0: %zu", loans, nonZeroSums);
+  cr_assert(loans > 1000 && nonZeroSums > 1000, "the histories lent almost nothing");
 }
 
-// Guards against shares that are safe because nobody can use them.
+// Guards against lending that keeps the sum within the amount only because VMs can hardly borrow.
 Test(ShareBook, DemandOnOneVmBorrowsMostOfTheAmount)
 {
   ShareFleet fleet(6, 7);
-  Prepare(fleet);
+  SetAmountsAndDemands(fleet);
   fleet.StartAll();
   fleet.Run(4s);
-  cr_assert(SumOf(fleet, kPlan) > 0.999 * kAmount, "a calm fleet uses the whole amount");
+  cr_assert(TotalAvailable(fleet, kPlan) > 0.999 * kAmount, "a calm fleet uses the whole amount");
   fleet.nodes[0].demand = kAmount;
   fleet.Run(2s);
-  double least = kAmount;
+  double minAvailable = kAmount;
   fleet.onStep = [&] {
-    least = std::min(least, fleet.nodes[0].book->Available(kPlan, fleet.LocalNow(0)));
+    minAvailable = std::min(minAvailable, fleet.nodes[0].book->Available(kPlan, fleet.LocalNow(0)));
   };
   fleet.Run(10s);
-  cr_assert(least > 0.85 * kAmount, "only %.1f was available", least);
+  cr_assert(minAvailable > 0.85 * kAmount, "only %.1f was available", minAvailable);
   fleet.nodes[0].demand = 0;
   fleet.nodes[1].demand = kAmount;
   fleet.Run(500ms);
-  const double moved = fleet.nodes[1].book->Available(kPlan, fleet.LocalNow(1));
-  cr_assert(moved > 0.85 * kAmount, "only %.1f was given back and lent again", moved);
+  const double availableAfterMove = fleet.nodes[1].book->Available(kPlan, fleet.LocalNow(1));
+  cr_assert(availableAfterMove > 0.85 * kAmount,
+            "only %.1f was given back and lent again",
+            availableAfterMove);
 }
 
-// Guards against a restarted VM that stays without its share although the roster states that its
-// place was confirmed.
+// Guards against a restarted VM that waits for confirmations from its peers, and so has no base
+// share, although the roster marks it as settled.
 Test(ShareBook, SettledVmUsesItsShareAfterARestartWithoutItsPeers)
 {
   const Vm self{ .id = VmId("a"),
--- a/unittests/Shares/ShareFleet.h
+++ b/unittests/Shares/ShareFleet.h
@@ -15,25 +15,25 @@
 
 namespace dfm::test {
 
-/// One step of a generated history of a fleet.
+/// One step of a randomly generated fault history of a fleet.
 struct FleetCommand
 {
   enum class Kind
   {
-    Run, ///< Only time passes.
+    Run, ///< No change; time passes.
     Demand,
     Kill,
     Restart,
     Pause,
     Resume,
-    Cut,
-    Heal,
-    Lossy,
-    Calm,
+    Cut,   ///< Splits the network into two sides; each bit of the value is the side of one VM.
+    Heal,  ///< Ends the network partition.
+    Lossy, ///< Sets a message loss rate and a higher message delay.
+    Calm,  ///< Resets message loss and delay.
     AddVm,
-    Remove, ///< The VM dies, and the platform no longer lists it.
-    ReadRoster,
-    Count,
+    Remove,     ///< The VM dies, and the platform no longer lists it.
+    ReadRoster, ///< The VM reads the newest roster from the store.
+    Count,      ///< Number of kinds; not a step.
   };
   Kind kind = Kind::Run;
   uint32_t vm = 0;
@@ -51,7 +51,7 @@
 inline rc::Gen<std::vector<FleetCommand>>
 AnyHistory()
 {
-  // Demand changes are frequent, so that loans are open when something fails.
+  // Over half of the steps change a demand, so that loans are in use when a fault occurs.
   const auto kinds = rc::gen::map(
     rc::gen::inRange(0, 2 * static_cast<int>(FleetCommand::Kind::Count)), [](int aKind) {
       return aKind < static_cast<int>(FleetCommand::Kind::Count) ? FleetCommand::Kind(aKind)
@@ -64,9 +64,9 @@
                                  rc::gen::set(&FleetCommand::runMs, rc::gen::inRange(0U, 1500U))));
 }
 
-/// Several VMs with a ShareBook each, in virtual time: clocks that drift by up to 5 %, messages
-/// that are lost, late or cut off, VMs that pause, die and restart, and a roster that changes as
-/// the design allows (a VM is removed only when it is dead).
+/// Simulates several VMs with a ShareBook each in virtual time. Clocks drift by up to 5 %, messages
+/// are lost, delayed or dropped by a network partition, VMs pause, die and restart, and the roster
+/// changes as the design allows (a VM is removed only when it is dead).
 class ShareFleet
 {
 public:
@@ -76,13 +76,14 @@
     double clockRate = 1;
     bool paused = false;
     bool inRoster = false;
-    uint32_t side = 0; ///< VMs of different sides of a cut do not reach each other.
+    uint32_t side = 0; ///< VMs on different sides of a network partition do not reach each other.
     double demand = 0;
     ListVersion rosterSeen = 0;
     std::unique_ptr<ShareBook> book; ///< Empty when the VM does not run.
   };
 
-  /// Called when a VM's process starts, on every tick of it and after it handled a message.
+  /// Called with the index of a VM: onStart when its process starts, onTick on each of its ticks.
+  /// onStep is called after each step of time and after a VM handled a message.
   std::function<void(size_t)> onStart = [](size_t) {};
   std::function<void(size_t)> onTick = [](size_t) {};
   std::function<void()> onStep = [] {};
@@ -107,7 +108,8 @@
 
   TimePoint LocalNow(size_t aVm) const
   {
-    return TimePoint(FromSeconds(ToSeconds(real.time_since_epoch()) * nodes[aVm].clockRate) + 100s);
+    return TimePoint(FromSeconds(ToSeconds(realNow.time_since_epoch()) * nodes[aVm].clockRate) +
+                     100s);
   }
 
   void Start(size_t aVm, bool aStoreDown = false)
@@ -162,11 +164,11 @@
         break;
       case FleetCommand::Kind::Lossy:
         lossPercent = aCommand.value % 50;
-        mostDelay = Duration(1ms) * (aCommand.value * 20 + 1);
+        maxDelay = Duration(1ms) * (aCommand.value * 20 + 1);
         break;
       case FleetCommand::Kind::Calm:
         lossPercent = 0;
-        mostDelay = 5ms;
+        maxDelay = 5ms;
         break;
       case FleetCommand::Kind::AddVm:
         ChangeRoster(vm, true);
@@ -190,9 +192,9 @@
 
   void Run(Duration aTime)
   {
-    const TimePoint end = real + aTime;
-    while (real < end) {
-      real = std::min(end, real + 7ms);
+    const TimePoint end = realNow + aTime;
+    while (realNow < end) {
+      realNow = std::min(end, realNow + 7ms);
       Deliver();
       for (size_t i = 0; i < nodes.size(); ++i) {
         if (nodes[i].book && !nodes[i].paused)
@@ -203,13 +205,13 @@
   }
 
   std::vector<Node> nodes;
-  TimePoint real;
+  TimePoint realNow;
   uint32_t lossPercent = 0;
-  Duration mostDelay = 5ms;
-  size_t loans = 0; ///< Grants that were delivered.
+  Duration maxDelay = 5ms;
+  size_t grantsDelivered = 0; ///< Grants of more than 0.
 
 private:
-  static constexpr size_t kSpareVms = 2; ///< VMs that a history may add.
+  static constexpr size_t kSpareVms = 2; ///< Not in the first roster; a history may add them.
 
   struct Confirmation
   {
@@ -236,11 +238,11 @@
     nodes.push_back(std::move(node));
   }
 
-  void ChangeRoster(size_t aVm, bool aIn)
+  void ChangeRoster(size_t aVm, bool aInRoster)
   {
-    if (nodes[aVm].inRoster == aIn)
+    if (nodes[aVm].inRoster == aInRoster)
       return;
-    nodes[aVm].inRoster = aIn;
+    nodes[aVm].inRoster = aInRoster;
     PublishRoster();
   }
 
@@ -282,7 +284,7 @@
       nodes.begin(), nodes.end(), [&](const Node& aNode) { return aNode.vm.id == aTo; });
     if (random_.Below(100) < lossPercent)
       return;
-    messages_.push_back(Message{ .due = real + random_.Between(0us, mostDelay),
+    messages_.push_back(Message{ .due = realNow + random_.Between(0us, maxDelay),
                                  .from = aFrom,
                                  .to = static_cast<size_t>(to - nodes.begin()),
                                  .content = std::move(aContent) });
@@ -290,11 +292,11 @@
 
   void Deliver()
   {
-    std::vector<Message> waiting;
-    waiting.swap(messages_);
-    for (Message& message : waiting) {
+    std::vector<Message> undelivered;
+    undelivered.swap(messages_);
+    for (Message& message : undelivered) {
       Node& to = nodes[message.to];
-      if (message.due > real || (to.book && to.paused)) {
+      if (message.due > realNow || (to.book && to.paused)) {
         messages_.push_back(std::move(message));
         continue;
       }
@@ -316,7 +318,7 @@
     if (const auto* request = std::get_if<ShareRequest>(&stream))
       book.OnShareRequest(from, *request, now);
     if (const auto* grant = std::get_if<ShareGrant>(&stream)) {
-      loans += grant->amount > 0 ? 1 : 0;
+      grantsDelivered += grant->amount > 0 ? 1 : 0;
       book.OnShareGrant(from, *grant, now);
     }
     if (const auto* back = std::get_if<ShareReturn>(&stream))
