--- a/unittests/Steering/DispatcherTest.cpp
+++ b/unittests/Steering/DispatcherTest.cpp
@@ -23,9 +23,9 @@
   return instances;
 }
 
-/// A request went to an instance that leaves, is evacuated, or serves another region than the
-/// route's homes.
-Test(Dispatcher, UsesOnlyInstancesThatMayBeUsed)
+/// Guards against requests that are sent to an instance that drains, is evacuated, or is outside
+/// the home regions of the route.
+Test(Dispatcher, UsesOnlyPermittedInstances)
 {
   struct Case
   {
@@ -62,7 +62,8 @@
   }
 }
 
-/// Requests beyond the known slots of all VMs were sent and waited at the instance.
+/// Guards against sending more requests than an instance has slots, which happens when the requests
+/// that other VMs report are not counted; the excess would queue at the instance.
 Test(Dispatcher, CountsRequestsOfOtherVms)
 {
   DispatcherFixture fixture;
@@ -77,7 +78,8 @@
   cr_assert(fixture.started.size() == 2);
 }
 
-/// A request that waited in vain was held until its deadline instead of refused.
+/// Guards against requests that wait for a slot until their deadline instead of being refused
+/// early.
 Test(Dispatcher, RefusesEarlyWithTimeToComeBack)
 {
   DispatcherFixture fixture;
@@ -90,7 +92,7 @@
   cr_assert(fixture.refused[waiting].retryAfter > Duration{});
 }
 
-/// Among waiting requests a less urgent one got the free slot.
+/// Guards against a free slot that goes to a less urgent request than another one that waits.
 Test(Dispatcher, ServesUrgentRequestsFirst)
 {
   DispatcherFixture fixture;
@@ -103,9 +105,9 @@
   cr_assert(not fixture.running.contains(bulk));
 }
 
-/// What follows the end of an attempt. A non-idempotent request ran twice after a broken
-/// connection, or was refused as "not run" although it may have run.
-Test(Dispatcher, DecidesWhatFollowsAnAttempt)
+/// Checks the verdict for each kind of attempt end. Guards against a non-idempotent request that
+/// runs twice after a broken connection, or is refused as "not run" although it may have run.
+Test(Dispatcher, ReturnsTheVerdictForEachAttemptEnd)
 {
   struct Case
   {
@@ -140,8 +142,8 @@
   }
 }
 
-/// A request was sent to more instances than its route allows.
-Test(Dispatcher, KeepsToTheAttemptsOfTheRoute)
+/// Guards against more attempts for a request than its route allows.
+Test(Dispatcher, LimitsAttemptsToTheRoutesMaximum)
 {
   DispatcherFixture fixture;
   fixture.SetFleet({ { .id = "i-1" }, { .id = "i-2" }, { .id = "i-3" } });
@@ -153,8 +155,9 @@
   cr_assert(fixture.End(order, Kind::NotExecuted, 503) == Verdict::Refuse);
 }
 
-/// The repeats of one VM passed its part of the budget of all VMs, whatever instances do.
-Test(Dispatcher, RepeatsStayWithinTheBudget)
+/// Guards against retries of one VM that exceed its part of the retry budget of all VMs, however
+/// attempts fail.
+Test(Dispatcher, RetriesStayWithinTheBudget)
 {
   const bool holds = rc::check("repeats of one of n VMs", [] {
     const auto vms = *rc::gen::inRange<size_t>(1, 10);
@@ -163,20 +166,21 @@
     DispatcherFixture fixture(slack, vms);
     const auto instances = ManyInstances(6, 400);
     fixture.SetFleet(instances);
-    size_t repeats = 0;
+    size_t retries = 0;
     for (int i = 0; i < requests; ++i) {
       const Ticket ticket = fixture.Submit({ .maxAttempts = 4 }, static_cast<uint64_t>(i));
       while (fixture.running.contains(ticket) &&
              fixture.End(ticket, Kind::Broken) == Verdict::Retry)
-        ++repeats;
+        ++retries;
     }
     const double part = std::max(1.0, slack / static_cast<double>(vms));
-    RC_ASSERT(static_cast<double>(repeats) <= 0.2 * requests + part);
+    RC_ASSERT(static_cast<double>(retries) <= 0.2 * requests + part);
   });
   cr_assert(holds);
 }
 
-/// A cold instance got more requests in a second than the VMs of its region may send together.
+/// Guards against a cold instance that gets more requests a second than the VMs of its region may
+/// send to it together.
 Test(Dispatcher, ColdInstanceGetsItsRateOnly)
 {
   const bool holds = rc::check("requests of one of n VMs to a cold instance", [] {
@@ -184,21 +188,22 @@
     const auto perTick = *rc::gen::inRange(1, 8);
     DispatcherFixture fixture(100, vms);
     fixture.SetFleet({ { .id = "i-1", .slots = 1000, .coldFor = 10s } });
-    size_t inSecond = 0;
+    size_t startedInSecond = 0;
     for (int tick = 0; tick < 100; ++tick) {
       for (int i = 0; i < perTick; ++i)
         fixture.Submit({}, static_cast<uint64_t>(tick) * 10 + static_cast<uint64_t>(i));
       fixture.Advance(10ms);
     }
-    inSecond = fixture.started.size();
+    startedInSecond = fixture.started.size();
     // 20 a second for all VMs; one token may have been saved up.
-    RC_ASSERT(static_cast<double>(inSecond) <= 20.0 / static_cast<double>(vms) + 2);
+    RC_ASSERT(static_cast<double>(startedInSecond) <= 20.0 / static_cast<double>(vms) + 2);
   });
   cr_assert(holds);
 }
 
-/// Many VMs with a small part each saved up one request each and sent them in one second
-/// (papadakis-steno-grown, trouble-3: FAILBACK).
+/// Guards against overload of a cold instance, which happens when each of many VMs has a small part
+/// of its rate, saves up one token, and all spend it in the same second (papadakis-steno-grown,
+/// trouble-3: FAILBACK).
 Test(Dispatcher, ColdInstanceIsSharedByFewVms)
 {
   constexpr size_t kVms = 30;
@@ -217,9 +222,9 @@
   cr_assert(total <= 20 * 1.5);
 }
 
-/// A VM that had not yet heard of the others took the whole slack of the repeats, and kept it
-/// (papadakis-steno-grown, scale-1: BUDGET).
-Test(Dispatcher, RepeatsSavedUpShrinkWhenVmsBecomeKnown)
+/// Guards against a VM that takes the whole retry slack while it knows of no other VM, and keeps it
+/// when the others become known (papadakis-steno-grown, scale-1: BUDGET).
+Test(Dispatcher, RetryBudgetShrinksWhenVmsBecomeKnown)
 {
   DispatcherFixture fixture(60, 1);
   const auto instances = ManyInstances(6, 400);
@@ -227,16 +232,17 @@
   fixture.Submit({}, 1);
   fixture.SetVms(30);
   fixture.SetFleet(instances);
-  size_t repeats = 0;
+  size_t retries = 0;
   for (uint64_t i = 0; i < 10; ++i) {
     const Ticket ticket = fixture.Submit({ .maxAttempts = 4 }, i);
     while (fixture.running.contains(ticket) && fixture.End(ticket, Kind::Broken) == Verdict::Retry)
-      ++repeats;
+      ++retries;
   }
-  cr_assert(repeats <= 4);
+  cr_assert(retries <= 4);
 }
 
-/// A request that crashed three instances was sent to a fourth one when its caller sent it again.
+/// Guards against sending a request that crashed three instances to a fourth when its caller
+/// repeats it.
 Test(Dispatcher, QuarantinesARequestThatCrashesInstances)
 {
   DispatcherFixture fixture;
@@ -258,7 +264,8 @@
   cr_assert(fixture.running.contains(other));
 }
 
-/// An instance that fell silent kept getting requests, and those that may be repeated were held.
+/// Guards against new requests to an instance that stopped answering, and against idempotent
+/// requests that stay there instead of being retried elsewhere.
 Test(Dispatcher, ChecksASilentInstanceAndMovesItsRequests)
 {
   DispatcherFixture fixture;
@@ -270,15 +277,16 @@
   fixture.dispatcher.OnProbe(fixture.now, BackendId("i-1"), ProbeResult::Unreachable, {});
   cr_assert(fixture.abandoned.size() == 1 && fixture.abandoned.contains(silent));
   cr_assert(fixture.running.contains(order));
-  const size_t before = fixture.started.size();
+  const size_t startedBefore = fixture.started.size();
   fixture.Submit({}, 3);
-  cr_assert(fixture.started.size() == before);
+  cr_assert(fixture.started.size() == startedBefore);
   fixture.dispatcher.OnProbe(fixture.now, BackendId("i-1"), ProbeResult::Healthy, {});
 }
 
-/// Objects of a region with two instances in each failure domain were kept at every instance, so
-/// that none stayed warm (worth 0.683 instead of 0.803 on a calm day). At a start they were kept at
-/// one instance of each failure domain, each of which served its first requests cold.
+/// Guards against two failures in a region with two instances in each failure domain. If objects
+/// are spread over all instances, none stays warm (worth 0.683 instead of 0.803 on a calm day). If
+/// each failure domain keeps an object at one instance from the start, each of these instances
+/// serves its first requests cold.
 Test(Dispatcher, KeepsAnObjectAtOneInstanceOfTheRegionThenOfTheFailureDomain)
 {
   DispatcherFixture fixture;
@@ -307,15 +315,15 @@
   }
 }
 
-/// Objects that were moved to another region ran cold in the own one as soon as the other one's
-/// instance was full, and pushed out the objects that were warm there.
+/// Guards against running moved objects in the VM's own region when the instance of their target
+/// region is full: they would run cold there and evict warm objects.
 Test(Dispatcher, MovedObjectsWaitForTheirRegion)
 {
   DispatcherFixture fixture;
   fixture.SetFleet({ { .id = "i-own", .slots = 2 },
                      { .id = "i-south", .domain = "south-a", .slots = 10 },
                      { .id = "i-east", .domain = "east-a", .slots = 10 } });
-  // Before the first request shares are chosen from the sizes of the regions.
+  // Before the first request, the shares of the regions are chosen from their slots.
   fixture.Advance(200ms);
   const auto serve = [&fixture](uint64_t aKey) {
     const Ticket ticket = fixture.Submit({}, aKey);
@@ -326,29 +334,30 @@
   uint64_t key = 0;
   while (!serve(++key * 0x9e3779b97f4a7c15).spilled)
     cr_assert(key < 200);
-  // Requests of the first key, which is not moved, leave room below the limit of the moves.
+  // Requests of the first key, which is not moved, keep the moved share of requests below its
+  // limit.
   cr_assert(key > 1);
   for (int i = 0; i < 30; ++i)
     cr_assert(not serve(0x9e3779b97f4a7c15).spilled);
   const uint64_t moved = key * 0x9e3779b97f4a7c15;
-  const std::string away = serve(moved).instance.Value();
+  const std::string targetInstance = serve(moved).instance.Value();
   std::vector<InstanceLoad> full = fixture.dispatcher.OwnLoad();
   cr_assert(full.empty());
   for (const char* instance : { "i-south", "i-east" })
     full.push_back({ .instance = static_cast<uint32_t>(HashBytes(instance)), .inFlight = 10 });
   fixture.dispatcher.OnPeerLoad(fixture.now, VmId("vm-9"), { .loads = full, .life = 10s });
-  const size_t before = fixture.started.size();
+  const size_t startedBefore = fixture.started.size();
   const Ticket waiting = fixture.Submit({}, moved);
   fixture.Advance(50ms);
-  cr_assert(fixture.started.size() == before && !fixture.refused.contains(waiting));
+  cr_assert(fixture.started.size() == startedBefore && !fixture.refused.contains(waiting));
   fixture.dispatcher.OnPeerLoad(fixture.now, VmId("vm-9"), { .life = 10s });
   fixture.Advance(20ms);
   cr_assert(fixture.running.contains(waiting));
-  cr_assert(fixture.running.at(waiting).instance.Value() == away);
+  cr_assert(fixture.running.at(waiting).instance.Value() == targetInstance);
 }
 
-/// A cancelled request kept its slot, or was started later.
-Test(Dispatcher, CancelledRequestLeavesNothing)
+/// Guards against a cancelled request that keeps its slot or is started later.
+Test(Dispatcher, CancelledRequestFreesItsSlot)
 {
   DispatcherFixture fixture;
   fixture.SetFleet({ { .id = "i-1", .slots = 1 } });
@@ -362,8 +371,8 @@
   cr_assert(fixture.started.size() == 2);
 }
 
-/// Whatever happens, a non-idempotent request is sent again only after an end that shows that it
-/// did not run, and each request ends once.
+/// Checks for random attempt ends that a non-idempotent request is retried only after an end that
+/// proves that it did not run, and that each request ends once.
 Test(Dispatcher, NonIdempotentRequestsRunAtMostOnce)
 {
   const bool holds = rc::check("random ends of attempts", [] {
--- a/unittests/Steering/FleetKeeperTest.cpp
+++ b/unittests/Steering/FleetKeeperTest.cpp
@@ -8,7 +8,8 @@
 
 using namespace dfm;
 
-/// A keeper whose objects are "version" for the manifest and "service [draining]" for instances.
+/// A FleetKeeper with stub parsers: a manifest's text is its version, an instance is draining if
+/// its text is "draining", and the text "invalid" is rejected.
 struct Fixture
 {
   TimePoint now{ 100s };
@@ -36,7 +37,7 @@
   {
     keeper.OnSet(now, aKind, { .revision = aRevision, .objects = std::move(aObjects) });
   }
-  bool Holds(const std::string& aInstance) const
+  bool HasUsableInstance(const std::string& aInstance) const
   {
     const FleetView view = keeper.View();
     return std::any_of(view.instances.begin(), view.instances.end(), [&](const Instance& aIt) {
@@ -58,8 +59,8 @@
   unsigned rejections;
 };
 
-/// A manifest in force was replaced by an older or invalid one that another VM or a stale list
-/// brought later.
+/// Guards against replacing the manifest in force by an older or invalid one that arrives later
+/// from another VM or a stale list.
 Test(FleetKeeper, ManifestNeverGoesBack)
 {
   static const ManifestCase kCases[] = {
@@ -74,29 +75,30 @@
   }
 }
 
-/// A set that was read before the changes of a watch must not undo them.
+/// Guards against a set with an older revision that undoes changes already received from a watch.
 Test(FleetKeeper, OlderRevisionIsIgnored)
 {
   Fixture fixture;
   fixture.Set(ObjectKind::Instances, 5, { { "i-1", "ready" } });
   fixture.Set(ObjectKind::Instances, 4, {});
-  cr_assert(fixture.Holds("i-1"));
+  cr_assert(fixture.HasUsableInstance("i-1"));
 }
 
-/// An entry of another writer that cannot be read names no instance, and the others hold.
+/// An invalid entry, as another writer may store, defines no instance and leaves the others in
+/// force.
 Test(FleetKeeper, InvalidEntryNamesNoInstance)
 {
   Fixture fixture;
   fixture.Set(ObjectKind::Instances, 1, { { "i-1", "ready" }, { "i-2", "invalid" } });
-  cr_assert(fixture.Holds("i-1"));
-  cr_assert(not fixture.Holds("i-2"));
+  cr_assert(fixture.HasUsableInstance("i-1"));
+  cr_assert(not fixture.HasUsableInstance("i-2"));
   fixture.Set(ObjectKind::Instances, 2, { { "i-1", "invalid" }, { "i-2", "ready" } });
-  cr_assert(not fixture.Holds("i-1"));
-  cr_assert(fixture.Holds("i-2"));
+  cr_assert(not fixture.HasUsableInstance("i-1"));
+  cr_assert(fixture.HasUsableInstance("i-2"));
 }
 
-/// When entries lapse during an outage of the store, all instances would be lost until they
-/// register again.
+/// Guards against losing all instances when their entries lapse during a store outage, before they
+/// can register again.
 Test(FleetKeeper, LapsedEntriesAreKeptUntilTheyCouldComeBack)
 {
   Fixture fixture;
@@ -106,25 +108,26 @@
   fixture.keeper.OnStoreReachable(fixture.now, true);
   fixture.Set(ObjectKind::Instances, 9, {});
   fixture.Advance(1s);
-  cr_assert(fixture.Holds("i-1") && fixture.Holds("i-2"));
+  cr_assert(fixture.HasUsableInstance("i-1") && fixture.HasUsableInstance("i-2"));
   fixture.Set(ObjectKind::Instances, 10, { { "i-1", "ready" } });
   fixture.Advance(2s);
-  cr_assert(fixture.Holds("i-1"));
-  cr_assert(not fixture.Holds("i-2"));
+  cr_assert(fixture.HasUsableInstance("i-1"));
+  cr_assert(not fixture.HasUsableInstance("i-2"));
 }
 
-/// An instance that says that it leaves is not kept, whatever the store does.
+/// An instance whose entry says that it drains is not used, even during a store outage.
 Test(FleetKeeper, DrainingEntryIsNotKept)
 {
   Fixture fixture;
   fixture.Set(ObjectKind::Instances, 1, { { "i-1", "ready" } });
   fixture.keeper.OnStoreReachable(fixture.now, false);
   fixture.Set(ObjectKind::Instances, 2, { { "i-1", "draining" } });
-  cr_assert(not fixture.Holds("i-1"));
+  cr_assert(not fixture.HasUsableInstance("i-1"));
 }
 
-/// A VM that was cut off from a working store kept an instance that had left as if its entry had
-/// lapsed, and sent requests to it 12 s later (papadakis-steno, scale-2, seed 982997299998).
+/// Guards against a VM that loses contact with a working store and keeps a removed instance as if
+/// its entry had lapsed, so that requests went to it 12 s later (papadakis-steno, scale-2, seed
+/// 982997299998).
 Test(FleetKeeper, RemovalIsBelievedWhileTheStoreAnswersOthers)
 {
   Fixture fixture;
@@ -133,7 +136,7 @@
   fixture.Advance(2s);
   fixture.keeper.OnStoreElsewhere(fixture.now, true);
   fixture.Set(ObjectKind::Instances, 2, {});
-  cr_assert(not fixture.Holds("i-1"));
+  cr_assert(not fixture.HasUsableInstance("i-1"));
 }
 
 } // namespace
--- a/unittests/Steering/HomesTest.cpp
+++ b/unittests/Steering/HomesTest.cpp
@@ -19,9 +19,9 @@
   return kDomains[static_cast<size_t>(aInstance.back() - '0') % kDomains.size()];
 }
 
-/// Under overload, evacuations and failures of instances a request went to a region that is not one
-/// of its route's homes, or to an evacuated failure domain.
-Test(Homes, HoldWhateverFails)
+/// Guards against requests that are sent outside the home regions of their route, or to an
+/// evacuated failure domain, under overload, evacuations and instance failures.
+Test(Homes, HoldUnderRandomFaults)
 {
   const bool holds = rc::check("random faults in four failure domains", [] {
     DispatcherFixture fixture;
@@ -46,7 +46,7 @@
       }
     };
     const auto steps = *rc::gen::inRange(20, 150);
-    Ticket next = 1;
+    Ticket nextTicket = 1;
     for (int step = 0; step < steps; ++step) {
       const auto instance = "i-" + std::to_string(*rc::gen::inRange(0, 8));
       switch (*rc::gen::inRange(0, 7)) {
@@ -82,15 +82,16 @@
           fixture.Advance(100ms);
           break;
         default:
-          // The fixture numbers requests from 1 on; they may start before Submit returns.
-          homes[next] =
+          // The fixture numbers tickets from 1. The homes are stored first because the request may
+          // start before Submit returns.
+          homes[nextTicket] =
             *rc::gen::element(std::vector<RegionId>{},
                               std::vector<RegionId>{ RegionId("north") },
                               std::vector<RegionId>{ RegionId("south") },
                               std::vector<RegionId>{ RegionId("north"), RegionId("east") });
-          fixture.Submit({ .maxAttempts = 4, .homes = homes[next] },
+          fixture.Submit({ .maxAttempts = 4, .homes = homes[nextTicket] },
                          *rc::gen::inRange<uint64_t>(0, 40));
-          ++next;
+          ++nextTicket;
       }
       check();
     }
--- a/unittests/Steering/ManifestTest.cpp
+++ b/unittests/Steering/ManifestTest.cpp
@@ -20,7 +20,7 @@
   return std::make_shared<const RouteIndex>(manifest);
 }
 
-/// A request was handled by a shorter prefix, or by a route of another host.
+/// Guards against matching a shorter prefix or a route of another host.
 Test(RouteIndex, FindsTheLongestPrefixOfTheHost)
 {
   const auto index = Index({ { .name = "all", .host = "a.example", .pathPrefix = "/" },
@@ -50,7 +50,7 @@
   }
 }
 
-/// A part of a split got more or less than its weight.
+/// Guards against a part of a split that gets more or fewer requests than its weight.
 Test(SplitChooser, GivesEachPartItsWeight)
 {
   const bool holds = rc::check("random weights", [] {
@@ -75,7 +75,8 @@
   cr_assert(holds);
 }
 
-/// Callers were sent to a VM of another region although their own has one, or outside the homes.
+/// Guards against sending callers to a VM of another region although their own has one, or to a VM
+/// outside the route's home regions.
 Test(Directory, NamesVmsOfTheRegionOrOfTheHomes)
 {
   FleetView view;
@@ -91,10 +92,10 @@
   add("east", 3);
   add("west", 4);
   Random random(1);
-  const auto ports = [&](const char* aHost, const char* aRegion, size_t aMost) {
+  const auto ports = [&](const char* aHost, const char* aRegion, size_t aMaxVms) {
     std::set<uint16_t> result;
     for (const Endpoint& vm :
-         ResolveVms(view, { .host = aHost, .region = RegionId(aRegion) }, aMost, random))
+         ResolveVms(view, { .host = aHost, .region = RegionId(aRegion) }, aMaxVms, random))
       result.insert(vm.port);
     return result;
   };
@@ -106,8 +107,9 @@
   cr_assert(ports("any.example", "south", 2).size() == 2);
 }
 
-/// A message between VMs lost a field, or malformed bytes were read as a message.
-Test(PeerMessages, SurviveTheWire)
+/// Guards against fields lost in encoding, and against malformed bytes that decode as a message or
+/// crash the decoder.
+Test(PeerMessages, RoundTripAndRejectMalformedBytes)
 {
   StateReply reply;
   reply.storeSteady = true;
--- a/unittests/Steering/ObjectCounterTest.cpp
+++ b/unittests/Steering/ObjectCounterTest.cpp
@@ -8,8 +8,8 @@
 
 using namespace dfm;
 
-/// The estimate was far off, so that crowded regions spread their objects over too many or too few
-/// instances.
+/// Guards against inaccurate estimates, which make overloaded regions spread their objects over too
+/// many or too few instances.
 Test(ObjectCounter, EstimatesFromASample)
 {
   for (const uint64_t objects : { 40, 130, 300, 1000 }) {
@@ -23,8 +23,9 @@
   }
 }
 
-/// Endless new keys, as requests without an object have, filled the memory or ended the search.
-Test(ObjectCounter, BearsKeysThatNeverComeAgain)
+/// Guards against unbounded memory use or a search that fails when every key is new, as for
+/// requests without an object.
+Test(ObjectCounter, HandlesKeysThatNeverRepeat)
 {
   ObjectCounter counter;
   for (uint64_t key = 0; key < 20'000; ++key)
--- a/unittests/Steering/PeerLoadsTest.cpp
+++ b/unittests/Steering/PeerLoadsTest.cpp
@@ -8,8 +8,8 @@
 
 using namespace dfm;
 
-/// The requests of a VM that died, or an earlier report of the same VM, stayed in the sum: the
-/// instance counted as full for good.
+/// Guards against sums that still include a dead VM or a superseded report of a VM: the instance
+/// would count as full forever.
 Test(PeerLoads, CountsOnlyTheLatestReportOfLiveVms)
 {
   PeerLoads loads;
@@ -27,7 +27,7 @@
   cr_assert(loads.At(7) == 0 && loads.At(8) == 4);
 }
 
-/// The running sums drifted away from the reports that they are made of.
+/// Guards against running sums that differ from the sum of the reports in force.
 Test(PeerLoads, EqualsTheSumOfTheReports)
 {
   const bool held = rc::check("sums equal the reports in force", [] {
--- a/unittests/Steering/ShiftLimitTest.cpp
+++ b/unittests/Steering/ShiftLimitTest.cpp
@@ -10,29 +10,30 @@
 
 using namespace dfm;
 
-struct Start
+struct StartedRequest
 {
   TimePoint at;
-  bool away = false;
+  bool inOtherRegion = false;
 };
 
 double
-ShareAway(const std::vector<Start>& aStarts, TimePoint aFrom, TimePoint aUntil)
+ShareInOtherRegion(const std::vector<StartedRequest>& aStarts, TimePoint aFrom, TimePoint aUntil)
 {
   double all = 0;
-  double away = 0;
-  for (const Start& start : aStarts) {
+  double moved = 0;
+  for (const StartedRequest& start : aStarts) {
     if (start.at < aFrom || start.at >= aUntil)
       continue;
     all += 1;
-    away += start.away ? 1 : 0;
+    moved += start.inOtherRegion ? 1 : 0;
   }
-  return all > 0 ? away / all : 0;
+  return all > 0 ? moved / all : 0;
 }
 
-/// An overloaded region refused most requests of its own, so that a few moved keys were over a
-/// third of what ran: more than the permitted 15 % changed their region within 2 s.
-Test(ShiftLimit, BoundsTheShareOfWhatRuns)
+/// Guards against more than the permitted 15 % of requests changing their region within 2 s. This
+/// happens when an overloaded region refuses most of its own requests, so that a few moved keys
+/// make up over a third of the requests that run.
+Test(ShiftLimit, BoundsTheShareOfStartedRequests)
 {
   const bool holds = rc::check("any mix of own and moved requests", [] {
     const RegionId own("own");
@@ -40,21 +41,22 @@
     constexpr double kMaxChange = 0.1;
     constexpr double kBound = 0.15;
     std::vector<ShiftLimit> vms(3, ShiftLimit(own, kMaxChange));
-    std::vector<Start> starts;
+    std::vector<StartedRequest> starts;
     TimePoint now{ 100s };
     for (int step = 0; step < 1600; ++step) {
-      // About 140 requests a second at the VMs of a region; the part that wants to move jumps once
-      // a second.
+      // About 140 requests a second at the VMs of a region; the share that
+      // should move changes abruptly about once a second.
       now += Duration(std::chrono::milliseconds(*rc::gen::inRange(2, 12)));
-      const int wanted = (step / 120) % 2 == 0 ? 90 : *rc::gen::inRange(0, 100);
-      const bool wants = *rc::gen::inRange(0, 100) < wanted;
+      const int movePercent = (step / 120) % 2 == 0 ? 90 : *rc::gen::inRange(0, 100);
+      const bool shouldMove = *rc::gen::inRange(0, 100) < movePercent;
       ShiftLimit& vm = vms[*rc::gen::inRange<size_t>(0, vms.size())];
-      const bool away = wants && vm.MayStart(now, other);
-      vm.OnStart(now, away ? other : own);
-      starts.push_back({ .at = now, .away = away });
+      const bool inOtherRegion = shouldMove && vm.MayStart(now, other);
+      vm.OnStart(now, inOtherRegion ? other : own);
+      starts.push_back({ .at = now, .inOtherRegion = inOtherRegion });
     }
     for (TimePoint at = starts.front().at + 4s; at < now; at += 100ms) {
-      const double grown = ShareAway(starts, at - 2s, at) - ShareAway(starts, at - 4s, at - 2s);
+      const double grown =
+        ShareInOtherRegion(starts, at - 2s, at) - ShareInOtherRegion(starts, at - 4s, at - 2s);
       RC_ASSERT(grown <= kBound);
     }
   });
--- a/unittests/Steering/SpillControlTest.cpp
+++ b/unittests/Steering/SpillControlTest.cpp
@@ -22,8 +22,9 @@
   return regions;
 }
 
-/// More than the permitted 15 % of a region's requests changed their region within 2 s.
-Test(SpillControl, ChangesSlowlyWhateverIsReported)
+/// Guards against more than the permitted 15 % of a region's requests changing their region within
+/// 2 s.
+Test(SpillControl, LimitsMovesUnderRandomReports)
 {
   const bool holds = rc::check("random use of three regions", [] {
     SpillControl control(RegionId("own"), {});
@@ -40,17 +41,18 @@
       placements.push_back(Placement(control));
       if (placements.size() <= 20)
         continue;
-      const auto& before = placements[placements.size() - 21];
+      const auto& previous = placements[placements.size() - 21];
       int moved = 0;
       for (int key = 0; key < kKeys; ++key)
-        moved += before[key] != placements.back()[key] ? 1 : 0;
+        moved += previous[key] != placements.back()[key] ? 1 : 0;
       RC_ASSERT(moved <= 0.15 * kKeys);
     }
   });
   cr_assert(holds);
 }
 
-/// A region without free slots got more keys, or an idle own region did not take its keys back.
+/// Guards against moving more keys to a region without free slots, and against leaving keys in
+/// other regions when the own region is idle again.
 Test(SpillControl, FollowsTheUseOfSlots)
 {
   SpillControl control(RegionId("own"), {});
@@ -71,8 +73,8 @@
   cr_assert(control.Share() < 0.05);
 }
 
-/// A region with few slots began with all requests of its own: everything was cold, and moving a
-/// third of what ran within seconds passed the bound.
+/// Guards against a region with few slots that starts with all of its own requests: all objects are
+/// cold, and moving a third of the running requests within seconds exceeds the bound on moves.
 Test(SpillControl, StartsWithSharesThatFitTheRegions)
 {
   struct Case
@@ -80,23 +82,23 @@
     double own;
     double east;
     double west;
-    double least; ///< Of the share that starts elsewhere.
-    double most;
+    double minShare; ///< Bounds of the share of requests that starts in other regions.
+    double maxShare;
   };
   static const Case kCases[] = {
-    { .own = 10, .east = 10, .west = 10, .least = 0, .most = 0 },
-    { .own = 2, .east = 10, .west = 10, .least = 0.3, .most = 0.6 },
-    { .own = 0, .east = 10, .west = 10, .least = 0, .most = 0 },
-    { .own = 10, .east = 0, .west = 0, .least = 0, .most = 0 },
-    { .own = 0, .east = 0, .west = 0, .least = 0, .most = 0 },
+    { .own = 10, .east = 10, .west = 10, .minShare = 0, .maxShare = 0 },
+    { .own = 2, .east = 10, .west = 10, .minShare = 0.3, .maxShare = 0.6 },
+    { .own = 0, .east = 10, .west = 10, .minShare = 0, .maxShare = 0 },
+    { .own = 10, .east = 0, .west = 0, .minShare = 0, .maxShare = 0 },
+    { .own = 0, .east = 0, .west = 0, .minShare = 0, .maxShare = 0 },
   };
   for (const Case& sizes : kCases) {
     SpillControl control(RegionId("own"), {});
     control.Prepare({ { .region = RegionId("own"), .slots = sizes.own },
                       { .region = RegionId("east"), .slots = sizes.east },
                       { .region = RegionId("west"), .slots = sizes.west } });
-    cr_assert(control.Share() >= sizes.least && control.Share() <= sizes.most);
-    // The split between the others follows their room.
+    cr_assert(control.Share() >= sizes.minShare && control.Share() <= sizes.maxShare);
+    // The split between the other regions follows their free slots.
     cr_assert(control.ShareOf(RegionId("east")) == control.ShareOf(RegionId("west")));
   }
 }
--- a/unittests/Steering/StoreFollowingTest.cpp
+++ b/unittests/Steering/StoreFollowingTest.cpp
@@ -11,9 +11,9 @@
 
 constexpr Duration kStep = 50ms;
 constexpr Duration kAskPeriod = 200ms;
-/// Membership learns of a death after this time.
+/// Time after which membership detects that a VM died.
 constexpr Duration kDetection = 1500ms;
-/// Changes of the operator must be in force this soon.
+/// Time within which an operator's change must be in force at every VM.
 constexpr Duration kInForce = 2500ms;
 
 /// VMs of one region in virtual time, with a store whose revision is the time of its last change.
@@ -44,34 +44,35 @@
   void Kill(size_t aNode)
   {
     nodes_[aNode].diedAt = now_;
-    membersChangeAt_ = now_ + kDetection;
+    membersChangeTime_ = now_ + kDetection;
   }
   void Restart(size_t aNode)
   {
     StartNode(nodes_[aNode]);
-    membersChangeAt_ = now_ + kStep;
+    membersChangeTime_ = now_ + kStep;
   }
-  /// The store turns this VM away.
+  /// Makes the store refuse the calls of this VM, or accept them again.
   void Refuse(size_t aNode, bool aRefuse) { nodes_[aNode].refused = aRefuse; }
 
-  /// How far the live VM that is furthest behind the store is behind it.
+  /// Returns the age of the store state known to the live VM with the oldest one. VMs that started
+  /// less than kInForce ago are not counted.
   Duration Lag() const
   {
     Duration lag{};
     for (const Node& node : nodes_) {
       if (!node.diedAt && now_ - node.startedAt > kInForce)
-        lag = std::max(lag, now_ - node.known);
+        lag = std::max(lag, now_ - node.knownStoreTime);
     }
     return lag;
   }
-  size_t Callers() const
+  size_t StoreCallerCount() const
   {
     return static_cast<size_t>(
       std::count_if(nodes_.begin(), nodes_.end(), [this](const Node& aNode) {
         return !aNode.diedAt && !aNode.following->IsServed(now_);
       }));
   }
-  size_t FirstCaller() const
+  size_t FirstStoreCaller() const
   {
     for (size_t i = 0; i < nodes_.size(); ++i) {
       if (!nodes_[i].diedAt && !nodes_[i].following->IsServed(now_))
@@ -79,7 +80,7 @@
     }
     return nodes_.size();
   }
-  unsigned Calls() const { return calls_; }
+  unsigned CallCount() const { return calls_; }
 
 private:
   struct Node
@@ -87,9 +88,9 @@
     Vm vm;
     std::optional<StoreFollowing> following{};
     TimePoint startedAt{};
-    TimePoint known{}; ///< Time of the store's state that the VM knows.
-    TimePoint asksAt{};
-    TimePoint callsAt{};
+    TimePoint knownStoreTime{}; ///< Time of the store's state that the VM knows.
+    TimePoint nextAskTime{};
+    TimePoint nextCallTime{};
     bool member = false;
     bool refused = false;
     std::optional<TimePoint> diedAt{};
@@ -100,11 +101,11 @@
     aNode.following.emplace(
       StoreFollowingOptions{ .self = aNode.vm, .seeds = seeds_, .startedAt = now_ });
     aNode.startedAt = now_;
-    aNode.known = {};
+    aNode.knownStoreTime = {};
     aNode.member = false;
     aNode.diedAt.reset();
-    aNode.asksAt = now_ + kStep * (asks_++ % 4);
-    aNode.callsAt = now_;
+    aNode.nextAskTime = now_ + kStep * (asks_++ % 4);
+    aNode.nextCallTime = now_;
   }
 
   std::vector<Vm> Live() const
@@ -119,27 +120,27 @@
 
   void Step()
   {
-    const bool changed = membersChangeAt_ && now_ >= *membersChangeAt_;
+    const bool changed = membersChangeTime_ && now_ >= *membersChangeTime_;
     if (changed)
-      membersChangeAt_.reset();
+      membersChangeTime_.reset();
     for (Node& node : nodes_) {
       if (node.diedAt)
         continue;
-      if (node.known > TimePoint{} && (!node.member || changed)) {
+      if (node.knownStoreTime > TimePoint{} && (!node.member || changed)) {
         node.member = true;
         node.following->OnMembers(now_, Live());
       }
-      if (now_ >= node.asksAt)
+      if (now_ >= node.nextAskTime)
         Ask(node);
-      if (now_ >= node.callsAt && !node.following->IsServed(now_) &&
-          !(node.known == TimePoint{} && node.following->WaitsForSeeds(now_)))
+      if (now_ >= node.nextCallTime && !node.following->IsServed(now_) &&
+          !(node.knownStoreTime == TimePoint{} && node.following->WaitsForSeeds(now_)))
         Call(node);
     }
   }
 
   void Ask(Node& aNode)
   {
-    aNode.asksAt = now_ + kAskPeriod;
+    aNode.nextAskTime = now_ + kAskPeriod;
     const auto peers = aNode.following->PeersToAsk(now_, {});
     if (peers.empty())
       return;
@@ -147,7 +148,7 @@
     for (const Node& other : nodes_) {
       if (other.vm.peers != peer || other.diedAt)
         continue;
-      aNode.known = std::max(aNode.known, other.known);
+      aNode.knownStoreTime = std::max(aNode.knownStoreTime, other.knownStoreTime);
       if (other.following->Vouches(now_))
         aNode.following->OnVouched(now_);
     }
@@ -158,45 +159,47 @@
     ++calls_;
     for (size_t i = 0; i < kObjectKindCount; ++i)
       aNode.following->OnCall(static_cast<ObjectKind>(i), !aNode.refused);
-    aNode.callsAt = now_ + (aNode.refused ? aNode.following->LongestRetryWait(now_) : kStep);
+    aNode.nextCallTime = now_ + (aNode.refused ? aNode.following->LongestRetryWait(now_) : kStep);
     if (!aNode.refused)
-      aNode.known = now_;
+      aNode.knownStoreTime = now_;
   }
 
   std::vector<Node> nodes_;
   std::vector<Endpoint> seeds_;
   TimePoint now_{ 100s };
-  std::optional<TimePoint> membersChangeAt_;
+  std::optional<TimePoint> membersChangeTime_;
   size_t asks_ = 0;
   unsigned calls_ = 0;
 };
 
-/// All VMs of a starting fleet called the store: 1,100 calls before the first request.
+/// Guards against a starting fleet in which every VM calls the store, which caused 1,100 calls
+/// before the first request.
 Test(StoreFollowing, FewVmsCallTheStore)
 {
   Region region(20, 3);
   region.Run(2s);
-  cr_assert(region.Callers() <= 3);
+  cr_assert(region.StoreCallerCount() <= 3);
   region.Run(8s);
-  cr_assert(region.Callers() == 2);
+  cr_assert(region.StoreCallerCount() == 2);
   cr_assert(region.Lag() <= 2 * kAskPeriod);
 }
 
-/// Two VMs vouched for the store on each other's word, and neither followed it.
+/// Guards against two VMs that each take the other's word for being up to date with the store, so
+/// that neither calls it.
 Test(StoreFollowing, VmsDoNotRelyOnEachOther)
 {
   for (const size_t seeds : { 0, 1, 2, 3 }) {
     Region region(3, seeds);
     for (int i = 0; i < 200; ++i) {
       region.Run(kStep);
-      cr_assert(region.Callers() >= 1);
+      cr_assert(region.StoreCallerCount() >= 1);
       cr_assert(region.Lag() <= kInForce);
     }
   }
 }
 
-/// After the death of the VMs that follow the store, or while the store turned them away, a change
-/// came too late at the others.
+/// Guards against changes that reach the other VMs too late after the VMs that call the store died,
+/// or while the store refuses them.
 Test(StoreFollowing, ChangesReachEveryVmInTime)
 {
   const bool holds = rc::check("kills, restarts and refusals", [] {
@@ -207,7 +210,7 @@
     region.Run(4s);
     for (int step = 0; step < 8; ++step) {
       const size_t node =
-        *rc::gen::element(region.FirstCaller(), *rc::gen::inRange<size_t>(0, vms));
+        *rc::gen::element(region.FirstStoreCaller(), *rc::gen::inRange<size_t>(0, vms));
       switch (*rc::gen::inRange(0, 3)) {
         case 0:
           if (dead.size() + refused.size() + 1 < vms && !refused.contains(node) &&
@@ -230,7 +233,7 @@
       for (const Duration until = 6s;
            const auto tick : std::vector<Duration>(until / kStep, kStep)) {
         region.Run(tick);
-        // A VM that the store turned away hears from the others within the stretched bound.
+        // A VM that the store refuses learns of changes from the others within this longer bound.
         RC_ASSERT(region.Lag() <= kInForce + 5s);
       }
       RC_ASSERT(region.Lag() <= kInForce);
