--- a/lib/Gateway/FleetSync.cpp
+++ b/lib/Gateway/FleetSync.cpp
@@ -195,10 +195,12 @@
 {
   Duration wait = kFirstRetryWait;
   bool listed = false;
-  while (keeper_.Snapshot(aKind).revision == 0 && storeFollowing_.IsWaitingForSeeds(ReadClocks().monotonic))
+  while (keeper_.Snapshot(aKind).revision == 0 &&
+         storeFollowing_.IsWaitingForSeeds(ReadClocks().monotonic))
     co_await Sleep(kTickPeriod);
   for (;;) {
-    if (keeper_.Snapshot(aKind).revision > 0 && storeFollowing_.IsServedByFollower(ReadClocks().monotonic)) {
+    if (keeper_.Snapshot(aKind).revision > 0 &&
+        storeFollowing_.IsServedByFollower(ReadClocks().monotonic)) {
       co_await Sleep(kPeerPollPeriod);
       continue;
     }
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -136,8 +136,10 @@
 {
   return {
     .startAttempt = [this](const InstanceAttempt& aAttempt) { front.StartAttempt(aAttempt); },
-    .refuseRequest = [this](Ticket aTicket,
-                     const RequestRefusal& aRefusal) { front.RefuseRequest(aTicket, aRefusal); },
+    .refuseRequest =
+      [this](Ticket aTicket, const RequestRefusal& aRefusal) {
+        front.RefuseRequest(aTicket, aRefusal);
+      },
     .abandonAttempt = [this](Ticket aTicket) { front.AbandonAttempt(aTicket); },
     .sendProbe =
       [this](const Instance& aInstance, const ServiceSpec& aSpec) {
--- a/unittests/Steering/SpillControlTest.cpp
+++ b/unittests/Steering/SpillControlTest.cpp
@@ -95,8 +95,8 @@
   for (const Case& sizes : kCases) {
     SpillControl control(RegionId("own"), {});
     control.SetInitialShares({ { .region = RegionId("own"), .slots = sizes.own },
-                      { .region = RegionId("east"), .slots = sizes.east },
-                      { .region = RegionId("west"), .slots = sizes.west } });
+                               { .region = RegionId("east"), .slots = sizes.east },
+                               { .region = RegionId("west"), .slots = sizes.west } });
     cr_assert(control.TotalShare() >= sizes.minShare && control.TotalShare() <= sizes.maxShare);
     // The split between the other regions follows their free slots.
     cr_assert(control.ShareOf(RegionId("east")) == control.ShareOf(RegionId("west")));
