--- a/include/dragonflymoor/Membership/Membership.h
+++ b/include/dragonflymoor/Membership/Membership.h
@@ -28,22 +28,24 @@
   std::vector<Endpoint> seeds;
   uint64_t randomSeed = 0;
   Duration probePeriod = 200ms;
-  /// Wait for a direct answer before other members are asked to probe; must be above the longest
-  /// round trip (40 ms between regions) and below the period.
+  /// Time to wait for a direct acknowledgement before other members are asked to probe the target.
+  /// Must be above the longest round trip (40 ms between regions) and below probePeriod.
   Duration ackTimeout = 100ms;
+  /// Members that are asked to probe a target that did not acknowledge in time.
   size_t indirectProbeCount = 3;
-  /// A suspicion lasts this many periods times max(1, log10(members)).
+  /// A suspect member is declared dead after this many probe periods times
+  /// max(1, log10(live members)), this VM included.
   double suspicionPeriods = 5;
-  /// Interval between probes of a dead member, or of a VM known only from the platform's list. At
-  /// most two of them are probed in each probe period.
+  /// Interval between probes of one dead member, or of one VM known only from the platform's list.
+  /// At most two such VMs are probed in each probe period.
   Duration deadProbePeriod = 5s;
   /// A dead member is kept at least this long, so that updates still in transit do not revive it.
   Duration deadMemberRetention = 60s;
-  /// The full member list is exchanged with one random member at this interval, for up to 32
-  /// members; for n members the period is n / 32 times as long, so that bytes per second stay
+  /// Interval between exchanges of the full member list with one random member, for up to 32
+  /// members. For n > 32 members it is n / 32 times as long, so that the bytes per second stay
   /// constant.
   Duration syncPeriod = 60s;
-  /// Updates in one datagram besides the sender's own.
+  /// Maximum number of updates in one datagram, not counting the sender's own.
   size_t maxPiggybackedUpdates = 6;
 };
 
@@ -52,8 +54,8 @@
 {
   std::function<void(const Endpoint&, const DatagramMessage&)> sendDatagram;
   std::function<void(const Vm&, const StreamMessage&)> sendStream;
-  /// The state, incarnation, leaving flag or list versions of a member changed, or it was forgotten
-  /// (then with state Left). Never called for this VM itself.
+  /// A member was added, its update changed (such as state, incarnation, leaving flag or list
+  /// versions), or it was removed (then with state Left). Never called for this VM itself.
   std::function<void(const MemberUpdate&)> memberChanged;
   /// A peer acknowledged a probe that was sent at the given time (for PauseDetector::OnAck).
   std::function<void(TimePoint)> probeAcknowledged;
@@ -78,39 +80,43 @@
 
   void Start(Now aNow);
   /// Must be called every 20 ms. If more than the probe period has passed since the previous call,
-  /// pending probes are dropped without suspecting their targets, because their answers may still
-  /// wait in the socket.
+  /// pending probes are dropped without suspecting their targets, because their acknowledgements
+  /// may still be unread in the socket.
   void OnTick(Now aNow);
   void OnDatagram(Now aNow, const Endpoint& aFrom, const DatagramMessage& aMessage);
   void OnSync(Now aNow, const VmId& aFrom, const MemberSync& aSync);
-  /// The platform's list of VMs: candidates for members. Members that are dead or left and not in
-  /// the list are forgotten.
+  /// Takes the platform's list of VMs. Listed VMs that are not members yet are probed. Members that
+  /// have been dead or left for at least deadMemberRetention and are not listed are removed.
   void OnVmList(Now aNow, const std::vector<PlatformVm>& aVms);
 
-  /// This VM is leaving; cannot be undone. It still answers probes.
+  /// Marks this VM as leaving, which cannot be undone. It still answers probes.
   void SetLeaving(Now aNow);
-  /// This VM stops: tells a few members that it left, without waiting for suspicion.
+  /// Announces that this VM stops. Tells a few random members that it has left, so that they
+  /// do not have to detect its death.
   void Leave(Now aNow);
-  /// Sets the list versions in force on this VM, which its own update carries.
+  /// Sets the list versions in force on this VM, which are sent in its own update. A version lower
+  /// than the present one is ignored.
   void SetListVersions(const std::array<ListVersion, kListCount>& aVersions);
 
-  /// Description of this VM as it is sent to others.
+  /// The update of this VM as it is sent to others.
   const MemberUpdate& Self() const { return self_; }
   /// All known members but this VM, in order of id, in any state.
   std::vector<MemberUpdate> Members() const;
-  /// VMs that count as live (alive or suspect), this VM included, in order of id.
+  /// VMs whose state is Alive or Suspect, in order of id. Includes this VM until Leave().
   std::vector<MemberUpdate> LiveMembers() const;
   /// LiveMembers() without leaving VMs.
   std::vector<Vm> LiveNotLeaving() const;
+  /// Latest update of a VM, this VM included; null for an unknown VM.
   const MemberUpdate* Find(const VmId& aVm) const;
   InstanceState StateOf(const VmInstance& aInstance) const;
   /// Send time of the latest probe that any peer acknowledged; empty before the first.
   std::optional<TimePoint> LastAckedProbeSentAt() const { return lastAckedProbeSentAt_; }
-  /// Smallest roster version that is in force on every VM of the roster, dead ones included,
-  /// according to the last update of each; 0 while no update of one of them has been received.
+  /// Smallest of the roster versions in force on this VM and on the VMs of aRoster, dead ones
+  /// included, according to the latest update of each VM. 0 if no update of a VM of aRoster has
+  /// been received.
   ListVersion ConfirmedRosterVersion(const std::vector<Vm>& aRoster) const;
-  /// Regions other than the own one, nearest first by measured round trip; unmeasured ones last, by
-  /// name.
+  /// Regions of all members except this VM's own region, in order of mean round-trip time; regions
+  /// without a measurement come last, in order of name.
   std::vector<RegionId> RegionsByLatency() const;
   /// Counter that increases whenever the set returned by LiveMembers() or LiveNotLeaving() changes.
   uint64_t Epoch() const { return epoch_; }
@@ -121,25 +127,26 @@
     MemberUpdate update;
     TimePoint suspectedAt; ///< Valid while suspect.
     TimePoint endedAt;     ///< Valid while dead or left.
-    /// How often the update was sent on; empty when it is no longer queued for dissemination.
+    /// Number of times the update was disseminated; empty while it is not in updateQueue_.
     std::optional<unsigned> transmitCount;
-    std::vector<Incarnation> supersededRuns; ///< Earlier runs, the latest last.
-    /// An update of a run that is ordered earlier was received. That run may be the later one if
-    /// its wall clock went back.
-    bool earlierRunHeard = false;
+    std::vector<Incarnation> supersededRuns; ///< Earlier runs in order; the most recent last.
+    /// An update of a run with a lower RunOrderKey was received. That run may still be the later
+    /// one if the VM's wall clock went back. The next datagram to the VM carries `update`, so
+    /// that the VM can correct its start time.
+    bool earlierRunUpdateReceived = false;
   };
   /// A probe whose acknowledgement has not arrived.
   struct PendingProbe
   {
     VmId target;
     TimePoint sentAt;
-    bool indirectSent = false;
-    bool suspectOnTimeout = true; ///< If no answer arrives, the target becomes suspect.
+    bool indirectSent = false;    ///< Indirect probes of the target were requested.
+    bool suspectOnTimeout = true; ///< Without an acknowledgement the target becomes suspect.
   };
-  /// A probe on behalf of another VM.
+  /// A probe sent on behalf of another VM, which asked for it with an IndirectProbe.
   struct RelayedProbe
   {
-    uint64_t nonce = 0; ///< Nonce of the IndirectProbe of the requester.
+    uint64_t nonce = 0; ///< Nonce of the IndirectProbe.
     Endpoint requester;
     TimePoint sentAt;
   };
@@ -150,6 +157,8 @@
     TimePoint nextProbeAt;
   };
 
+  /// Returns the updates for one datagram to aReceiver, this VM's own first, and counts the
+  /// transmission of each queued update.
   std::vector<MemberUpdate> TakePiggybackUpdates(const VmId& aReceiver);
   void SendProbe(Now aNow, const VmId& aTarget, const Endpoint& aEndpoint, bool aSuspectOnTimeout);
   void SendIndirectProbes(Now aNow, uint64_t aNonce, const VmId& aTarget);
@@ -158,7 +167,9 @@
   void ProbeSeeds(Now aNow);
   void CheckPendingProbes(Now aNow);
   void ExpireSuspicions(Now aNow);
-  void CompensateForPause(Now aNow, Duration aStep);
+  /// Drops pending probes and extends suspicions after a pause of this VM; aTickInterval is the
+  /// time between the last two ticks.
+  void CompensateForPause(Now aNow, Duration aTickInterval);
   std::vector<const Vm*> RandomLiveVms(size_t aCount, const VmId& aExcept);
   void SendSyncRequest(Now aNow, const Vm& aVm);
   MemberSync MakeSync(bool aWantsReply) const;
@@ -166,6 +177,8 @@
   void OnProbe(Now aNow, const Endpoint& aFrom, const Probe& aProbe);
   void OnProbeAck(Now aNow, const ProbeAck& aAck);
   void OnIndirectProbe(Now aNow, const Endpoint& aFrom, const IndirectProbe& aProbe);
+  /// Applies updates received from a peer. New members are queued for dissemination only with
+  /// aDisseminate.
   void ApplyUpdates(Now aNow, const std::vector<MemberUpdate>& aUpdates, bool aDisseminate);
   void ApplyUpdateOfSelf(const MemberUpdate& aUpdate);
   void ApplyUpdateOfMember(Now aNow, Member& aMember, const MemberUpdate& aUpdate);
@@ -185,12 +198,13 @@
   MemberUpdate self_;
   std::map<VmId, Member> members_;
   std::map<VmId, UnreachableVm> unreachableVms_;
-  VmId unreachableCursor_;
-  std::vector<VmId> probeOrder_;
-  size_t probeIndex_ = 0;
-  std::unordered_map<uint64_t, PendingProbe> pendingProbes_;
-  std::unordered_map<uint64_t, RelayedProbe> relayedProbes_;
-  /// Members whose updates are to be disseminated, fewest transmissions first.
+  VmId unreachableCursor_;       ///< Last probed entry of unreachableVms_.
+  std::vector<VmId> probeOrder_; ///< Members in the random order of the current probe round.
+  size_t probeIndex_ = 0;        ///< Next entry of probeOrder_.
+  std::unordered_map<uint64_t, PendingProbe> pendingProbes_; ///< By nonce of the probe.
+  std::unordered_map<uint64_t, RelayedProbe> relayedProbes_; ///< By nonce of the relayed probe.
+  /// Transmission count and id of each member whose update is to be disseminated; updates with the
+  /// fewest transmissions are sent first.
   std::set<std::pair<unsigned, VmId>> updateQueue_;
   std::set<VmId> suspects_;
   size_t liveCount_ = 0; ///< Other members that are alive or suspect.
--- a/lib/Membership/Membership.cpp
+++ b/lib/Membership/Membership.cpp
@@ -12,13 +12,15 @@
 
 // Each update is disseminated kTransmitFactor * log10(members + 1) times, rounded up.
 constexpr double kTransmitFactor = 8;
-// Number of dead members and VMs not yet heard from that are probed in one period; bounds the
-// traffic while a whole region is unreachable.
+// Maximum number of dead members and VMs without a received update that are probed in one period;
+// bounds the traffic while a whole region is unreachable.
 constexpr size_t kUnreachableProbesPerPeriod = 2;
 constexpr Duration kSeedProbePeriod = 1s;
 // Up to this number of members the sync period is not stretched.
 constexpr size_t kMaxMembersAtBaseSyncPeriod = 32;
+// Number of random members that a stopping VM tells that it has left.
 constexpr size_t kLeaveMessageCount = 5;
+// Number of earlier runs remembered for each member.
 constexpr size_t kMaxSupersededRuns = 4;
 // Weight of the latest round trip in the mean of its region.
 constexpr double kRoundTripWeight = 0.2;
@@ -34,7 +36,8 @@
   return aState == MemberState::Alive || aState == MemberState::Suspect;
 }
 
-/// Order of two runs of the same VM; the higher one is the later run.
+/// Sort key for the runs of one VM; a later run has a higher key unless the VM's wall clock went
+/// back.
 auto
 RunOrderKey(const MemberUpdate& aUpdate)
 {
@@ -49,12 +52,13 @@
          vm.failureDomain.Value().size() + vm.callers.address.size() + vm.peers.address.size();
 }
 
+/// Raises each version to the one in aNewVersions if that is higher.
 void
 RaiseVersions(std::array<ListVersion, kListCount>& aVersions,
-              const std::array<ListVersion, kListCount>& aNew)
+              const std::array<ListVersion, kListCount>& aNewVersions)
 {
   for (size_t i = 0; i < kListCount; ++i)
-    aVersions[i] = std::max(aVersions[i], aNew[i]);
+    aVersions[i] = std::max(aVersions[i], aNewVersions[i]);
 }
 
 } // namespace
@@ -64,13 +68,13 @@
 {
   size_t bytes = kMessageOverheadBytes;
   std::visit(
-    [&](const auto& aMember) {
-      for (const MemberUpdate& update : aMember.updates)
+    [&](const auto& aAlternative) {
+      for (const MemberUpdate& update : aAlternative.updates)
         bytes += EncodedSizeBound(update);
     },
     aMessage);
-  if (const auto* indirect = std::get_if<IndirectProbe>(&aMessage))
-    bytes += indirect->target.Value().size();
+  if (const auto* indirectProbe = std::get_if<IndirectProbe>(&aMessage))
+    bytes += indirectProbe->target.Value().size();
   return bytes;
 }
 
@@ -100,10 +104,10 @@
 void
 Membership::OnTick(Now aNow)
 {
-  const Duration step = lastTickAt_ ? aNow.monotonic - *lastTickAt_ : Duration(0);
+  const Duration tickInterval = lastTickAt_ ? aNow.monotonic - *lastTickAt_ : Duration(0);
   lastTickAt_ = aNow.monotonic;
-  if (step > options_.probePeriod)
-    CompensateForPause(aNow, step);
+  if (tickInterval > options_.probePeriod)
+    CompensateForPause(aNow, tickInterval);
   CheckPendingProbes(aNow);
   ExpireSuspicions(aNow);
   ProbeSeeds(aNow);
@@ -120,14 +124,14 @@
 }
 
 void
-Membership::CompensateForPause(Now aNow, Duration aStep)
+Membership::CompensateForPause(Now aNow, Duration aTickInterval)
 {
   pendingProbes_.clear();
-  // A suspicion received after the pause but before this tick counts as started at this tick; its
-  // start must not lie in the future.
+  // A suspicion that was received after the pause but before this tick must not get a start time
+  // in the future, so it starts at this tick at the latest.
   for (const VmId& id : suspects_) {
     TimePoint& suspectedAt = members_.at(id).suspectedAt;
-    suspectedAt = std::min(suspectedAt + aStep, aNow.monotonic);
+    suspectedAt = std::min(suspectedAt + aTickInterval, aNow.monotonic);
   }
 }
 
@@ -158,7 +162,7 @@
 {
   std::vector<MemberUpdate> updates{ self_ };
   size_t bytes = kMessageOverheadBytes + EncodedSizeBound(self_) + aReceiver.Value().size();
-  const auto add = [&](const MemberUpdate& aUpdate) {
+  const auto addIfFits = [&](const MemberUpdate& aUpdate) {
     const size_t size = EncodedSizeBound(aUpdate);
     if (bytes + size > kMaxDatagramBytes || updates.size() > options_.maxPiggybackedUpdates)
       return false;
@@ -166,24 +170,24 @@
     updates.push_back(aUpdate);
     return true;
   };
-  // A receiver that this VM considers suspect, dead or an earlier run is told so, so that it can
-  // refute that.
+  // Sends the receiver its own update if this VM considers it suspect, dead, left or an earlier
+  // run, so that it can refute that.
   const auto receiver = members_.find(aReceiver);
-  if (receiver != members_.end() &&
-      (receiver->second.update.state != MemberState::Alive || receiver->second.earlierRunHeard)) {
-    add(receiver->second.update);
-    receiver->second.earlierRunHeard = false;
+  if (receiver != members_.end() && (receiver->second.update.state != MemberState::Alive ||
+                                     receiver->second.earlierRunUpdateReceived)) {
+    addIfFits(receiver->second.update);
+    receiver->second.earlierRunUpdateReceived = false;
   }
 
-  std::vector<VmId> sent;
+  std::vector<VmId> sentIds;
   for (const auto& [transmitCount, id] : updateQueue_) {
     if (id == aReceiver)
       continue;
-    if (!add(members_.at(id).update))
+    if (!addIfFits(members_.at(id).update))
       break;
-    sent.push_back(id);
+    sentIds.push_back(id);
   }
-  for (const VmId& id : sent) {
+  for (const VmId& id : sentIds) {
     Member& member = members_.at(id);
     const unsigned transmitCount = *member.transmitCount + 1;
     DequeueUpdate(member);
@@ -252,9 +256,9 @@
 void
 Membership::ProbeUnreachableVms(Now aNow)
 {
-  size_t sent = 0;
+  size_t sentCount = 0;
   auto next = unreachableVms_.upper_bound(unreachableCursor_);
-  for (size_t i = unreachableVms_.size(); i > 0 && sent < kUnreachableProbesPerPeriod;
+  for (size_t i = unreachableVms_.size(); i > 0 && sentCount < kUnreachableProbesPerPeriod;
        --i, ++next) {
     if (next == unreachableVms_.end())
       next = unreachableVms_.begin();
@@ -263,7 +267,7 @@
     next->second.nextProbeAt = aNow.monotonic + options_.deadProbePeriod;
     unreachableCursor_ = next->first;
     SendProbe(aNow, next->first, next->second.vm.peers, false);
-    ++sent;
+    ++sentCount;
   }
 }
 
@@ -293,9 +297,9 @@
       chosen.push_back(&member.update.vm);
       continue;
     }
-    const size_t place = random_.Below(seenCount);
-    if (place < aCount)
-      chosen[place] = &member.update.vm;
+    const size_t chosenIndex = random_.Below(seenCount);
+    if (chosenIndex < aCount)
+      chosen[chosenIndex] = &member.update.vm;
   }
   return chosen;
 }
@@ -320,7 +324,7 @@
       probe.indirectSent = true;
       SendIndirectProbes(aNow, entry->first, probe.target);
     }
-    // After the indirect probes are sent, their answers may take a whole probe period.
+    // Once the indirect probes are sent, their acknowledgements may take a whole probe period.
     if (age < options_.ackTimeout + options_.probePeriod) {
       ++entry;
       continue;
@@ -354,9 +358,9 @@
 void
 Membership::SetState(Now aNow, Member& aMember, MemberState aState)
 {
-  const MemberUpdate before = aMember.update;
+  const MemberUpdate previous = aMember.update;
   aMember.update.state = aState;
-  OnMemberChanged(aNow, aMember, before);
+  OnMemberChanged(aNow, aMember, previous);
   EnqueueUpdate(aMember);
 }
 
@@ -366,9 +370,9 @@
   const MemberUpdate& update = aMember.update;
   const VmId& id = update.vm.id;
   const bool wasLive = IsLive(aPrevious.state);
-  const bool live = IsLive(update.state);
-  liveCount_ = liveCount_ + (live ? 1 : 0) - (wasLive ? 1 : 0);
-  if (live != wasLive || update.leaving != aPrevious.leaving || update.vm != aPrevious.vm)
+  const bool isLive = IsLive(update.state);
+  liveCount_ = liveCount_ + (isLive ? 1 : 0) - (wasLive ? 1 : 0);
+  if (isLive != wasLive || update.leaving != aPrevious.leaving || update.vm != aPrevious.vm)
     ++epoch_;
   if (update.state == MemberState::Suspect &&
       (aPrevious.state != MemberState::Suspect || update.sequence != aPrevious.sequence)) {
@@ -382,7 +386,7 @@
                             .nextProbeAt = aNow.monotonic + options_.deadProbePeriod };
   else
     unreachableVms_.erase(id);
-  if (!live && wasLive)
+  if (!isLive && wasLive)
     aMember.endedAt = aNow.monotonic;
   hooks_.memberChanged(update);
 }
@@ -392,15 +396,16 @@
 {
   Member& member = members_[aUpdate.vm.id];
   member.update = aUpdate;
-  // Inserted at a random position of the current round, so that the first probe is at most one
-  // round away.
+  // Inserted at a random position of the current round, so that the member is
+  // probed within one round.
   probeOrder_.insert(probeOrder_.begin() +
                        static_cast<std::ptrdiff_t>(
                          probeIndex_ + random_.Below(probeOrder_.size() - probeIndex_ + 1)),
                      aUpdate.vm.id);
-  MemberUpdate before = aUpdate;
-  before.state = MemberState::Dead;
-  OnMemberChanged(aNow, member, before);
+  // OnMemberChanged counts the new member as live only if it was not live before.
+  MemberUpdate previous = aUpdate;
+  previous.state = MemberState::Dead;
+  OnMemberChanged(aNow, member, previous);
   if (aDisseminate)
     EnqueueUpdate(member);
 }
@@ -409,14 +414,14 @@
 Membership::ApplyUpdateOfSelf(const MemberUpdate& aUpdate)
 {
   if (aUpdate.incarnation == self_.incarnation) {
-    // Refutes a statement that this run is not alive with a higher sequence.
+    // An update that claims that this run is not alive is refuted by a higher sequence.
     if (aUpdate.state != MemberState::Alive && aUpdate.sequence >= self_.sequence &&
         self_.state != MemberState::Left)
       self_.sequence = aUpdate.sequence + 1;
     return;
   }
-  // The wall clock went back between two runs: without this adjustment the other VMs would ignore
-  // this run.
+  // The wall clock went back between two runs of this VM. Without a later start time the other VMs
+  // would ignore this run.
   if (RunOrderKey(aUpdate) > RunOrderKey(self_) &&
       aUpdate.startedAtMs < std::numeric_limits<uint64_t>::max())
     self_.startedAtMs = aUpdate.startedAtMs + 1;
@@ -425,38 +430,38 @@
 void
 Membership::ApplyUpdateOfMember(Now aNow, Member& aMember, const MemberUpdate& aUpdate)
 {
-  const MemberUpdate before = aMember.update;
+  const MemberUpdate previous = aMember.update;
   MemberUpdate& current = aMember.update;
   if (aUpdate.incarnation != current.incarnation) {
     if (RunOrderKey(aUpdate) < RunOrderKey(current)) {
-      aMember.earlierRunHeard = true;
+      aMember.earlierRunUpdateReceived = true;
       return;
     }
     aMember.supersededRuns.push_back(current.incarnation);
     if (aMember.supersededRuns.size() > kMaxSupersededRuns)
       aMember.supersededRuns.erase(aMember.supersededRuns.begin());
     current = aUpdate;
-    OnMemberChanged(aNow, aMember, before);
+    OnMemberChanged(aNow, aMember, previous);
     EnqueueUpdate(aMember);
     return;
   }
   RaiseVersions(current.listVersions, aUpdate.listVersions);
   current.startedAtMs = std::max(current.startedAtMs, aUpdate.startedAtMs);
   const bool isNewer =
-    before.state != MemberState::Left &&
+    previous.state != MemberState::Left &&
     (aUpdate.state == MemberState::Left ||
-     std::tuple(aUpdate.sequence, aUpdate.state) > std::tuple(before.sequence, before.state));
+     std::tuple(aUpdate.sequence, aUpdate.state) > std::tuple(previous.sequence, previous.state));
   if (isNewer) {
     current.vm = aUpdate.vm;
-    current.sequence = std::max(aUpdate.sequence, before.sequence);
+    current.sequence = std::max(aUpdate.sequence, previous.sequence);
     current.state = aUpdate.state;
-    current.leaving = before.leaving || aUpdate.leaving;
+    current.leaving = previous.leaving || aUpdate.leaving;
   }
-  if (current == before)
+  if (current == previous)
     return;
-  OnMemberChanged(aNow, aMember, before);
-  // Versions are not disseminated: each VM sends its own, and a change of a list would otherwise
-  // cost one update for each member.
+  OnMemberChanged(aNow, aMember, previous);
+  // Changed list versions alone are not disseminated: each VM sends its own, and a change of a list
+  // would otherwise cost one update for each member.
   if (isNewer)
     EnqueueUpdate(aMember);
 }
@@ -537,8 +542,8 @@
   const Vm& sender = aAck.updates.front().vm;
   if (!probe.indirectSent) {
     const double seconds = ToSeconds(aNow.monotonic - probe.sentAt);
-    const auto [mean, first] = meanRoundTripSeconds_.emplace(sender.region, seconds);
-    if (!first)
+    const auto [mean, inserted] = meanRoundTripSeconds_.emplace(sender.region, seconds);
+    if (!inserted)
       mean->second += kRoundTripWeight * (seconds - mean->second);
   }
   if (!memberListReceived_ && members_.contains(sender.id))
@@ -565,8 +570,8 @@
 void
 Membership::OnSync(Now aNow, const VmId& aFrom, const MemberSync& aSync)
 {
-  // New members in a sync are known to the sender already; disseminating each one would flood
-  // the fleet whenever a VM starts. The sender itself is disseminated.
+  // The sender already knows the members in its list. Disseminating each one that is new here would
+  // flood the fleet whenever a VM starts, so only the sender itself is disseminated.
   for (const MemberUpdate& update : aSync.members)
     ApplyUpdates(aNow, { update }, update.vm.id == aFrom);
   memberListReceived_ = memberListReceived_ || !aSync.wantsReply;
@@ -650,12 +655,12 @@
     if (IsLive(member.update.state))
       live.push_back(member.update);
   }
-  const auto place = std::lower_bound(
+  const auto position = std::lower_bound(
     live.begin(), live.end(), self_.vm.id, [](const MemberUpdate& aUpdate, const VmId& aId) {
       return aUpdate.vm.id < aId;
     });
   if (self_.state != MemberState::Left)
-    live.insert(place, self_);
+    live.insert(position, self_);
   return live;
 }
 
@@ -697,14 +702,14 @@
         return InstanceState::Left;
     }
   }
-  // This run replaced every other run of this VM.
+  // Every other run of this VM has been replaced by this one.
   if (aInstance.vm == self_.vm.id)
     return InstanceState::Dead;
   const auto& supersededRuns = members_.at(aInstance.vm).supersededRuns;
-  const bool earlier =
+  const bool isSuperseded =
     std::find(supersededRuns.begin(), supersededRuns.end(), aInstance.incarnation) !=
     supersededRuns.end();
-  return earlier ? InstanceState::Dead : InstanceState::Unknown;
+  return isSuperseded ? InstanceState::Dead : InstanceState::Unknown;
 }
 
 ListVersion
@@ -723,23 +728,25 @@
 std::vector<RegionId>
 Membership::RegionsByLatency() const
 {
-  std::map<RegionId, double> regions;
+  std::map<RegionId, double> roundTripSeconds;
   for (const auto& [id, member] : members_) {
     const RegionId& region = member.update.vm.region;
-    if (region == self_.vm.region || regions.contains(region))
+    if (region == self_.vm.region || roundTripSeconds.contains(region))
       continue;
     const auto measured = meanRoundTripSeconds_.find(region);
-    regions[region] = measured == meanRoundTripSeconds_.end() ? std::numeric_limits<double>::max()
-                                                              : measured->second;
+    roundTripSeconds[region] = measured == meanRoundTripSeconds_.end()
+                                 ? std::numeric_limits<double>::max()
+                                 : measured->second;
   }
-  std::vector<RegionId> names;
-  names.reserve(regions.size());
-  for (const auto& [region, seconds] : regions)
-    names.push_back(region);
-  std::stable_sort(names.begin(), names.end(), [&](const RegionId& aLeft, const RegionId& aRight) {
-    return regions.at(aLeft) < regions.at(aRight);
-  });
-  return names;
+  std::vector<RegionId> sortedRegions;
+  sortedRegions.reserve(roundTripSeconds.size());
+  for (const auto& [region, seconds] : roundTripSeconds)
+    sortedRegions.push_back(region);
+  std::stable_sort(
+    sortedRegions.begin(), sortedRegions.end(), [&](const RegionId& aLeft, const RegionId& aRight) {
+      return roundTripSeconds.at(aLeft) < roundTripSeconds.at(aRight);
+    });
+  return sortedRegions;
 }
 
 } // namespace dfm
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -8,14 +8,16 @@
 
 namespace {
 
-// One probe round without an answer (0.3 s after at most a period), the suspicion (1 s), the
-// propagation of the update, and a margin for a probe that several VMs send late.
+// Covers a probe without an acknowledgement (0.3 s, sent after at most one period), the suspicion
+// (1 s), the dissemination of the update, and a margin for VMs that send their probes late.
 constexpr Duration kMaxDeathDetectionTime = 3s;
-// A member wrongly declared dead is probed again within 5 s; its refutation then spreads.
+// A member wrongly declared dead is probed again within 5 s; its refutation is then disseminated.
 constexpr Duration kMaxRecoveryTime = 8s;
 
+// Kind and two arguments of a fault or other event that the machine runs.
 using Command = std::tuple<uint8_t, uint8_t, uint8_t>;
 
+/// Runs random commands on a simulated fleet and compares the members' views with the real states.
 struct MembershipMachine
 {
   explicit MembershipMachine(uint64_t aSeed)
@@ -28,15 +30,15 @@
 
   void Run(const Command& aCommand)
   {
-    const auto [kind, first, second] = aCommand;
-    const size_t index = first % kVmCount;
+    const auto [kind, firstArgument, secondArgument] = aCommand;
+    const size_t index = firstArgument % kVmCount;
     auto& node = fleet.nodes[index];
     switch (kind % 8) {
       case 0:
         fleet.Kill(index);
         break;
       case 1:
-        fleet.Start(index); // Also replaces a running process at once.
+        fleet.Start(index); // Also restarts a process that is running.
         leaving.erase(index);
         break;
       case 2:
@@ -47,24 +49,25 @@
         fleet.Resume(index);
         break;
       case 4:
-        fleet.cuts.insert({ fmt::format("r{}", first % 3), fmt::format("r{}", second % 3) });
+        fleet.cuts.insert(
+          { fmt::format("r{}", firstArgument % 3), fmt::format("r{}", secondArgument % 3) });
         break;
       case 5:
         fleet.HealNetwork();
         break;
       case 6:
-        fleet.lossPercent = second % 40;
+        fleet.lossPercent = secondArgument % 40;
         break;
       default:
-        if (node.running && !node.paused && first % 3 == 0) {
+        if (node.running && !node.paused && firstArgument % 3 == 0) {
           node.membership->SetLeaving(fleet.Time());
           leaving.insert(index);
         }
     }
-    fleet.RunFor(Duration(second * 20'000));
+    fleet.RunFor(Duration(secondArgument * 20'000));
   }
 
-  /// Ends all faults; killed VMs stay down.
+  /// Ends network faults and pauses; killed VMs stay down.
   void Heal()
   {
     fleet.HealNetwork();
@@ -80,13 +83,14 @@
       const auto& other = fleet.nodes[i];
       const auto state =
         aNode.membership->StateOf({ .vm = other.vm.id, .incarnation = other.incarnation });
-      const bool inRoutes = std::find(routable.begin(), routable.end(), other.vm) != routable.end();
-      const std::string pair = aNode.vm.id.Value() + " about " + other.vm.id.Value();
+      const bool isRoutable =
+        std::find(routable.begin(), routable.end(), other.vm) != routable.end();
+      const std::string observerAndSubject = aNode.vm.id.Value() + " about " + other.vm.id.Value();
       if (state != (other.running ? InstanceState::Alive : InstanceState::Dead) &&
           !(state == InstanceState::Unknown && !other.running))
-        return pair + (other.running ? ": not alive" : ": not dead");
-      if (inRoutes != (other.running && !leaving.contains(i)))
-        return pair + ": wrong in routes";
+        return observerAndSubject + (other.running ? ": not alive" : ": not dead");
+      if (isRoutable != (other.running && !leaving.contains(i)))
+        return observerAndSubject + ": routability differs from the real state";
     }
     return {};
   }
@@ -106,8 +110,8 @@
 
 } // namespace
 
-// Guards against a dead VM that is still used, a live one that stays out after a fault, a restarted
-// one that is taken for its predecessor, and a leaving one in the route table.
+// Guards against a dead VM that is still used, a live VM that stays excluded after a fault, a
+// restarted VM that is mistaken for its earlier run, and a leaving VM that is still routable.
 Test(Membership, ConvergesAfterAnyFaults, .timeout = 280)
 {
   const bool ok = rc::check([](uint64_t aSeed, const std::vector<Command>& aCommands) {
@@ -122,7 +126,7 @@
     RC_ASSERT(machine.FindMismatch() == "");
     RC_ASSERT(machine.fleet.faults.empty());
 
-    // From a healthy state a death and a mark as leaving are known within their bounds.
+    // In a fleet without faults all VMs learn of a death and of a leaving VM within the bound.
     const size_t victim = aSeed % kVmCount;
     const size_t leaver = (victim + 1) % kVmCount;
     machine.fleet.Kill(victim);
@@ -136,20 +140,20 @@
   cr_assert(ok);
 }
 
-// Guards against stale verdicts after a pause of the observer: a suspicion from before the pause
-// must not end at once, because its refutation may still wait in the socket.
+// Guards against a VM that declares others dead right after its own pause: a suspicion from before
+// the pause must not expire at once, because its refutation may still be unread in the socket.
 Test(Membership, PausedVmDoesNotDeclareOthersDead)
 {
   MembershipMachine machine(1);
   auto& node = machine.fleet.nodes[0];
   machine.fleet.lossPercent = 100;
-  const auto suspects = [&] {
+  const auto countSuspects = [&] {
     const auto members = node.membership->Members();
     return std::count_if(members.begin(), members.end(), [](const MemberUpdate& aMember) {
       return aMember.state == MemberState::Suspect;
     });
   };
-  while (suspects() == 0)
+  while (countSuspects() == 0)
     machine.fleet.RunFor(kTick);
   node.paused = true;
   machine.fleet.HealNetwork();
@@ -164,9 +168,9 @@
   cr_assert(machine.FindMismatch().empty(), "%s", machine.FindMismatch().c_str());
 }
 
-// Guards against a dead VM that stays in use for as long as this VM was paused, because a suspicion
-// that waited in the socket counts as started in the future.
-Test(Membership, SuspicionReadAfterAPauseEndsInTime)
+// Guards against a dead VM that stays in use for as long as this VM was paused, which happens when
+// a suspicion that was unread in the socket during the pause gets a start time in the future.
+Test(Membership, SuspicionReadAfterAPauseExpiresInTime)
 {
   Now now{ .monotonic = TimePoint(1s), .wall = {} };
   Membership membership({ .seeds = {} },
@@ -231,7 +235,7 @@
   cr_assert(!detector.MayDispatch(start + 501ms));
   cr_assert(detector.OnTick(start + 600ms));
   cr_assert(!detector.MayDispatch(start + 600ms));
-  detector.OnAck(start + 599ms); // Sent before the pause: may have waited in the socket.
+  detector.OnAck(start + 599ms); // Sent before the pause: the ack may have waited in the socket.
   cr_assert(!detector.MayDispatch(start + 600ms));
   detector.OnAck(start + 600ms);
   cr_assert(detector.MayDispatch(start + 600ms));
