--- a/include/dragonflymoor/Recovery/RetryPolicy.h
+++ b/include/dragonflymoor/Recovery/RetryPolicy.h
@@ -12,11 +12,12 @@
 
 struct RetryPolicyOptions
 {
-  /// Free tries: further tries after attempts that certainly did not run the request. They do not
-  /// use the retry budget.
+  /// Maximum number of free tries of a request: retries after attempts that certainly did not run
+  /// it. They do not use the retry budget.
   uint32_t maxFreeTries = 3;
-  /// Budget tries: further tries after attempts that may have run, taken from the retry budget. Two
-  /// crashes block a fingerprint, so a third attempt of this kind is rarely useful.
+  /// Maximum number of budget tries of a request: retries after attempts that may have run it,
+  /// taken from the retry budget. Two crashes block a fingerprint, so a third attempt of this kind
+  /// is rarely useful.
   uint32_t maxBudgetTries = 2;
 };
 
@@ -27,11 +28,11 @@
   bool idempotent = true;
   TimePoint deadline;
   Duration expectedTime{}; ///< Usual time of one attempt, including the network time to the server.
-  uint32_t freeTries = 0;  ///< Free further tries so far.
-  uint32_t budgetTries = 0;          ///< Further tries from the budget so far.
+  uint32_t freeTries = 0;  ///< Free tries so far.
+  uint32_t budgetTries = 0;          ///< Budget tries so far.
   bool otherServerAvailable = false; ///< A server that the request has not tried can take it.
   bool fingerprintBlocked = false;   ///< CrashRegistry blocks the fingerprint.
-  bool mayHaveRun = false;           ///< An earlier attempt may have run.
+  bool mayHaveRun = false;           ///< An earlier attempt may have run the request.
 
   auto operator<=>(const RetryFacts&) const = default;
 };
@@ -39,16 +40,16 @@
 enum class RetryAction
 {
   Accept, ///< The answer goes to the caller.
-  Retry,  ///< Try a server that the request has not tried.
-  GiveUp, ///< The request ends with outcome and reason.
+  Retry,  ///< The request goes to a server that it has not tried.
+  GiveUp, ///< The request ends with the outcome and the reason of the decision.
 };
 
 struct RetryDecision
 {
   RetryAction action = RetryAction::GiveUp;
-  bool usedBudget = false; ///< With Retry: counts as a budget try, else as a free one.
+  bool usedBudget = false; ///< For Retry: this is a budget try; if false, a free try.
   Outcome outcome = Outcome::Unknown;
-  Reason reason = Reason::None; ///< With Retry: why the attempt is repeated.
+  Reason reason = Reason::None; ///< For Retry: why the attempt is repeated.
 
   auto operator<=>(const RetryDecision&) const = default;
 };
@@ -63,7 +64,8 @@
 ReasonOf(AttemptEnd aEnd);
 
 /// Decides what follows the end of an attempt. A request goes to each server at most once; a
-/// request that is not idempotent is repeated only when no attempt can have run. Not thread-safe.
+/// request that is not idempotent is repeated only when no attempt can have run it. Not
+/// thread-safe.
 class RetryPolicy
 {
 public:
@@ -71,8 +73,8 @@
 
   RetryDecision DecideAfterAttempt(TimePoint aNow, AttemptEnd aEnd, const RetryFacts& aFacts);
 
-  /// Like DecideAfterAttempt, for the answer of a pool owner to a forwarded request. Its answers
-  /// NotOwner, RegionBusy, ServerShed and the like with outcome NotRun allow a free try elsewhere.
+  /// Like DecideAfterAttempt, for the answer of a pool owner to a forwarded request. An answer with
+  /// outcome NotRun (such as NotOwner, RegionBusy or ServerShed) allows a free try elsewhere.
   RetryDecision DecideAfterForward(TimePoint aNow,
                                    Outcome aOutcome,
                                    Reason aReason,
--- a/lib/Recovery/HedgePolicy.cpp
+++ b/lib/Recovery/HedgePolicy.cpp
@@ -10,7 +10,7 @@
   , hooks_(std::move(aHooks))
   , budget_(aBudget)
 {
-  assert(hooks_.startHedge && hooks_.cancelAttempt && "hedge hook missing");
+  assert(hooks_.startHedge && hooks_.cancelAttempt && "a hedge hook is missing");
 }
 
 void
@@ -27,10 +27,10 @@
   tracked.pool = aPool;
   tracked.deadline = aDeadline;
   tracked.runningAttempts.insert(aAttempt);
-  attempts_[aAttempt] = aRequest;
+  requestByAttempt_[aAttempt] = aRequest;
   const auto delay = HedgeDelay(aPool);
   const bool eligible = aRank == Rank::Urgent && aIdempotent && !tracked.hedged;
-  // A second attempt that cannot end in time would only use a slot.
+  // A second attempt that cannot end before the deadline would only use a slot.
   if (!eligible || !delay || aNow + *delay * 2 > aDeadline)
     return;
   tracked.hedgeAt = aNow + *delay;
@@ -43,11 +43,11 @@
                             AttemptEnd aEnd,
                             Duration aElapsed)
 {
-  const auto attempt = attempts_.find(aAttempt);
-  if (attempt == attempts_.end())
+  const auto attempt = requestByAttempt_.find(aAttempt);
+  if (attempt == requestByAttempt_.end())
     return HedgeEnd::Superseded;
   const RequestId request = attempt->second;
-  attempts_.erase(attempt);
+  requestByAttempt_.erase(attempt);
   const auto found = trackedRequests_.find(request);
   TrackedRequest& tracked = found->second;
   tracked.runningAttempts.erase(aAttempt);
@@ -58,15 +58,15 @@
   const std::set<AttemptId> otherAttempts = tracked.runningAttempts;
   UnscheduleHedge(request, tracked);
   if (otherAttempts.empty()) {
-    // A failed request may be retried; it stays tracked, so that a request that already had a
-    // second attempt gets no other.
+    // A failed request may be retried. It stays tracked, so that it gets at most one second
+    // attempt.
     if (aEnd == AttemptEnd::Answered)
       trackedRequests_.erase(found);
     return HedgeEnd::LastAttempt;
   }
   trackedRequests_.erase(found);
   for (const AttemptId otherAttempt : otherAttempts) {
-    attempts_.erase(otherAttempt);
+    requestByAttempt_.erase(otherAttempt);
     hooks_.cancelAttempt(otherAttempt);
   }
   return HedgeEnd::Won;
@@ -80,7 +80,7 @@
     return;
   UnscheduleHedge(aRequest, found->second);
   for (const AttemptId attempt : found->second.runningAttempts)
-    attempts_.erase(attempt);
+    requestByAttempt_.erase(attempt);
   trackedRequests_.erase(found);
 }
 
@@ -92,12 +92,12 @@
     TrackedRequest& tracked = trackedRequests_.at(request);
     UnscheduleHedge(request, tracked);
     if (aNow < tracked.deadline)
-      StartHedge(request);
+      TryStartHedge(request);
   }
 }
 
 void
-HedgePolicy::StartHedge(RequestId aRequest)
+HedgePolicy::TryStartHedge(RequestId aRequest)
 {
   TrackedRequest& tracked = trackedRequests_.at(aRequest);
   if (budget_.Remaining(tracked.pool.service) < 1)
@@ -105,12 +105,12 @@
   const auto attempt = hooks_.startHedge(aRequest);
   if (!attempt)
     return;
-  const bool taken = budget_.TryTakeAttempt(tracked.pool.service);
-  assert(taken && "budget changed within one decision");
-  (void)taken;
+  const bool budgetTaken = budget_.TryTakeAttempt(tracked.pool.service);
+  assert(budgetTaken && "retry budget changed while a second attempt was started");
+  (void)budgetTaken;
   tracked.hedged = true;
   tracked.runningAttempts.insert(*attempt);
-  attempts_[*attempt] = aRequest;
+  requestByAttempt_[*attempt] = aRequest;
 }
 
 std::optional<TimePoint>
@@ -124,31 +124,33 @@
 std::optional<Duration>
 HedgePolicy::HedgeDelay(const PoolId& aPool) const
 {
-  const auto found = samples_.find(aPool);
-  if (found == samples_.end() || found->second.times.size() < options_.minSamples)
+  const auto found = answerTimes_.find(aPool);
+  if (found == answerTimes_.end() || found->second.times.size() < options_.minSamples)
     return std::nullopt;
-  return std::max(found->second.percentile, options_.minDelay);
+  return std::max(found->second.percentile95, options_.minDelay);
 }
 
 void
 HedgePolicy::RecordAnswerTime(const PoolId& aPool, Duration aElapsed)
 {
   constexpr double kPercentile = 0.95;
-  // Sorting on each answer would cost more than the added accuracy is worth.
+  // The percentile is not computed anew on each answer: that would cost more than the added
+  // accuracy is worth.
   constexpr size_t kSamplesPerUpdate = 16;
-  Samples& samples = samples_[aPool];
-  if (samples.times.size() < options_.window)
-    samples.times.push_back(aElapsed);
+  AnswerTimes& answerTimes = answerTimes_[aPool];
+  if (answerTimes.times.size() < options_.window)
+    answerTimes.times.push_back(aElapsed);
   else
-    samples.times[samples.next % options_.window] = aElapsed;
-  ++samples.next;
-  if (samples.next % kSamplesPerUpdate != 0 && samples.next != options_.minSamples)
+    answerTimes.times[answerTimes.recordedCount % options_.window] = aElapsed;
+  ++answerTimes.recordedCount;
+  if (answerTimes.recordedCount % kSamplesPerUpdate != 0 &&
+      answerTimes.recordedCount != options_.minSamples)
     return;
-  std::vector<Duration> sorted = samples.times;
+  std::vector<Duration> sorted = answerTimes.times;
   const auto index = static_cast<size_t>(kPercentile * static_cast<double>(sorted.size() - 1));
   const auto position = sorted.begin() + static_cast<std::ptrdiff_t>(index);
   std::nth_element(sorted.begin(), position, sorted.end());
-  samples.percentile = *position;
+  answerTimes.percentile95 = *position;
 }
 
 void
--- a/unittests/Recovery/RecoveryTest.cpp
+++ b/unittests/Recovery/RecoveryTest.cpp
@@ -22,7 +22,7 @@
   bool idempotent;
   bool mayHaveRun;
   bool otherServerAvailable;
-  bool blocked;
+  bool fingerprintBlocked;
   uint32_t freeTries;
   uint32_t budgetTries;
   int millisecondsLeft;
@@ -31,21 +31,22 @@
   Reason reason;
 };
 
-/// What one VM knows of one fingerprint: the plain definition of section 8.
-struct KnownCrashes
+/// Reference model of what one VM knows of one fingerprint, after section 8 of the design: two
+/// crashes less than 10 min apart block the fingerprint for 10 min.
+struct ReferenceCrashModel
 {
   uint32_t crashes = 0;
-  TimePoint last;
+  TimePoint lastCrashAt;
   TimePoint blockedUntil;
 
-  bool Blocked(TimePoint aNow) const { return aNow < blockedUntil; }
-  void Count(TimePoint aNow)
+  bool IsBlocked(TimePoint aNow) const { return aNow < blockedUntil; }
+  void RecordCrash(TimePoint aNow)
   {
-    if (Blocked(aNow))
+    if (IsBlocked(aNow))
       return;
-    if (aNow >= last + 10min)
+    if (aNow >= lastCrashAt + 10min)
       crashes = 0;
-    last = aNow;
+    lastCrashAt = aNow;
     if (++crashes < 2)
       return;
     crashes = 0;
@@ -128,7 +129,8 @@
   return cr_make_param_array(RetryCase, cases, sizeof(cases) / sizeof(RetryCase));
 }
 
-// Guards against a repeated order, a retry without time or servers, and a false outcome NotRun.
+// Guards against a repeated request that is not idempotent, a retry without time or servers, and a
+// false outcome NotRun.
 ParameterizedTest(RetryCase* aCase, RetryPolicy, Decisions)
 {
   RetryBudget budget;
@@ -140,16 +142,17 @@
                           .freeTries = aCase->freeTries,
                           .budgetTries = aCase->budgetTries,
                           .otherServerAvailable = aCase->otherServerAvailable,
-                          .fingerprintBlocked = aCase->blocked,
+                          .fingerprintBlocked = aCase->fingerprintBlocked,
                           .mayHaveRun = aCase->mayHaveRun };
   const RetryDecision decision = policy.DecideAfterAttempt(TimePoint(), aCase->end, facts);
   cr_assert(decision.action == aCase->action && decision.outcome == aCase->outcome);
   cr_assert(decision.reason == aCase->reason, "%s", ToString(decision.reason).data());
 }
 
-// Guards against retries that multiply an overload: additional attempts stay within 10 % and the
-// burst, whatever fails, and a request that may have run is repeated only when it is idempotent.
-Test(RetryPolicy, KeepsItsBudget)
+// Guards against retries that amplify an overload. Budget tries must stay within 10 % of the
+// requests plus the burst of 10, whatever fails, and a request that may have run is repeated only
+// when it is idempotent.
+Test(RetryPolicy, RetriesStayWithinTheBudget)
 {
   setenv("RC_PARAMS", kRapidcheckParameters, 0);
   cr_assert(rc::check([](uint64_t aSeed) {
@@ -157,7 +160,7 @@
     RetryBudget budget;
     RetryPolicy policy({}, budget);
     const size_t requests = *rc::gen::inRange<size_t>(1, 400);
-    size_t additional = 0;
+    size_t budgetTryCount = 0;
     for (size_t i = 0; i < requests; ++i) {
       budget.OnRequest(kService);
       RetryFacts facts{ .service = kService,
@@ -174,16 +177,17 @@
           break;
         }
         RC_ASSERT(facts.idempotent || !facts.mayHaveRun);
-        additional += decision.usedBudget ? 1 : 0;
+        budgetTryCount += decision.usedBudget ? 1 : 0;
         (decision.usedBudget ? facts.budgetTries : facts.freeTries) += 1;
       } while (true);
     }
-    RC_ASSERT(static_cast<double>(additional) <= 10 + 0.1 * static_cast<double>(requests));
+    RC_ASSERT(static_cast<double>(budgetTryCount) <= 10 + 0.1 * static_cast<double>(requests));
   }));
 }
 
-// Guards against a fingerprint that reaches a third server after two crashes that the VM knows, and
-// against a block without two different crashes, with delayed and repeated reports.
+// Guards against a fingerprint that reaches a third server although the VM knows of two crashes,
+// and against a fingerprint that is blocked without two different crashes. Reports arrive late and
+// more than once.
 Test(CrashRegistry, BlocksExactlyAfterTwoKnownCrashes)
 {
   setenv("RC_PARAMS", kRapidcheckParameters, 0);
@@ -191,48 +195,49 @@
     rc::gen::set(&CrashCommand::kind, rc::gen::inRange<uint32_t>(0, 10)),
     rc::gen::set(&CrashCommand::vm, rc::gen::inRange<uint32_t>(0, 3)),
     rc::gen::set(&CrashCommand::fingerprint, rc::gen::inRange<uint64_t>(0, 8)));
-  size_t blocked = 0;
+  size_t blockedCount = 0;
   cr_assert(rc::check([&] {
     const auto commands = *rc::gen::container<std::vector<CrashCommand>>(anyCommand);
-    // Fingerprints below this one crash the server that runs them.
-    constexpr uint64_t kGood = 5;
+    // Requests with a lower fingerprint crash the server that runs them.
+    constexpr uint64_t kFirstHarmlessFingerprint = 5;
     const WorkspaceId workspace("w");
     std::vector<CrashRegistry> vms;
     for (uint64_t i = 0; i < 3; ++i)
       vms.emplace_back(CrashRegistryOptions{}, i << 32U);
-    std::map<std::pair<uint32_t, uint64_t>, KnownCrashes> known;
-    std::set<std::pair<uint32_t, uint64_t>> counted;
+    std::map<std::pair<uint32_t, uint64_t>, ReferenceCrashModel> referenceModels;
+    std::set<std::pair<uint32_t, uint64_t>> receivedReports;
     std::vector<CrashReport> reports;
     TimePoint now;
     for (const CrashCommand& command : commands) {
       now += Duration(1ms);
       CrashRegistry& vm = vms[command.vm];
-      const std::pair at(command.vm, command.fingerprint);
+      const std::pair modelKey(command.vm, command.fingerprint);
       if (command.kind == 0) {
         now += 1min * static_cast<int>(command.fingerprint);
       } else if (command.kind <= 4 && !reports.empty()) {
         const CrashReport& report = reports[command.fingerprint % reports.size()];
         vm.OnReport(now, report);
-        if (counted.emplace(command.vm, report.reportId).second)
-          known[{ command.vm, report.fingerprint }].Count(now);
+        if (receivedReports.emplace(command.vm, report.reportId).second)
+          referenceModels[{ command.vm, report.fingerprint }].RecordCrash(now);
       } else {
         const bool isBlocked = vm.IsBlocked(now, workspace, command.fingerprint);
-        RC_ASSERT(isBlocked == known[at].Blocked(now));
-        RC_ASSERT(command.fingerprint < kGood || !isBlocked);
-        blocked += isBlocked ? 1 : 0;
-        if (isBlocked || command.fingerprint >= kGood)
+        RC_ASSERT(isBlocked == referenceModels[modelKey].IsBlocked(now));
+        RC_ASSERT(command.fingerprint < kFirstHarmlessFingerprint || !isBlocked);
+        blockedCount += isBlocked ? 1 : 0;
+        if (isBlocked || command.fingerprint >= kFirstHarmlessFingerprint)
           continue;
         reports.push_back(vm.OnCrash(now, workspace, command.fingerprint));
-        counted.emplace(command.vm, reports.back().reportId);
-        known[at].Count(now);
+        receivedReports.emplace(command.vm, reports.back().reportId);
+        referenceModels[modelKey].RecordCrash(now);
       }
     }
   }));
-  cr_assert(blocked > 0);
+  cr_assert(blockedCount > 0);
 }
 
-// Guards against a workspace whose whole traffic is blocked, and against unbounded memory.
-Test(CrashRegistry, BlocksAtMostSixtyFourAndTheOldestGo)
+// Guards against a workspace whose whole traffic is blocked, and against unbounded memory use: at
+// most 64 fingerprints of a workspace are blocked, and the oldest blocks are dropped.
+Test(CrashRegistry, BlocksAtMost64FingerprintsAndDropsTheOldest)
 {
   CrashRegistry registry({}, 1);
   const WorkspaceId workspace("w");
@@ -246,17 +251,17 @@
   cr_assert(!registry.IsBlocked(now, WorkspaceId("other"), 999));
 }
 
-// Guards against second attempts beyond the budget, for requests that must not run twice, and
-// against a slower attempt that keeps its slot.
+// Guards against second attempts beyond the budget or for requests that must not run twice, and
+// against a slower attempt that keeps its slot because it is not cancelled.
 Test(HedgePolicy, StartsSecondAttemptsWithinTheBudget)
 {
   RetryBudget budget;
-  std::vector<RequestId> seconds;
+  std::vector<RequestId> hedgedRequests;
   std::vector<AttemptId> cancelled;
   HedgePolicy policy({},
                      { .startHedge =
                          [&](RequestId aRequest) {
-                           seconds.push_back(aRequest);
+                           hedgedRequests.push_back(aRequest);
                            return std::optional(AttemptId{ 10'000 + aRequest.value });
                          },
                        .cancelAttempt = [&](AttemptId aId) { cancelled.push_back(aId); } },
@@ -274,10 +279,10 @@
       TimePoint(), RequestId{ i }, AttemptId{ i }, pool, Rank::Urgent, i % 2 == 0, deadline);
   }
   policy.OnTick(TimePoint(80ms));
-  cr_assert(seconds.empty());
+  cr_assert(hedgedRequests.empty());
   policy.OnTick(TimePoint(100ms));
-  cr_assert(seconds.size() == 10, "%zu second attempts", seconds.size());
-  for (const RequestId request : seconds)
+  cr_assert(hedgedRequests.size() == 10, "%zu second attempts", hedgedRequests.size());
+  for (const RequestId request : hedgedRequests)
     cr_assert(request.value % 2 == 0);
   cr_assert(policy.OnAttemptEnded(TimePoint(), AttemptId{ 200 }, AttemptEnd::Failed, 1ms) ==
             HedgeEnd::OtherAttemptRunning);
