--- a/include/dragonflymoor/Gateway/FleetSync.h
+++ b/include/dragonflymoor/Gateway/FleetSync.h
@@ -20,7 +20,7 @@
 struct FleetSyncOptions
 {
   Vm self;
-  std::vector<Endpoint> seeds;
+  std::vector<Endpoint> seeds; ///< Peer ports of some VMs; may be out of date.
   uint64_t randomSeed = 0;
 };
 
@@ -42,9 +42,10 @@
   /// Binds the port on which the VMs talk to each other.
   error_code Open();
   void Start();
-  /// Announces that this VM is leaving, so that other VMs direct no more callers to it.
+  /// Announces that this VM is leaving, so that other VMs direct no more callers to this VM,
+  /// and removes its registration from the store.
   void BeginStop();
-  /// Announces that this VM ends now.
+  /// Announces to the other VMs that this VM ends now.
   void Leave();
 
 private:
@@ -56,13 +57,13 @@
   asio::awaitable<void> RequestState(Endpoint aPeer);
   asio::awaitable<void> AcceptPeers();
   asio::awaitable<void> Tick();
-  /// Logs aMessage and reports to the keeper whether the store is reachable.
+  /// Logs aMessage and passes to keeper_ whether the store is reachable.
   void ReportStoreReachable(std::string_view aMessage);
   void OnStoreCallEnd(ObjectKind aKind, const std::optional<StoreError>& aError);
   StateReply MakeStateReply(const StateRequest& aRequest) const;
   void OnStateReply(const VmId& aFrom, const StateReply& aReply);
   void StartMembership();
-  /// Passes the registered VMs to membership as candidates.
+  /// Passes registeredVms_ to membership_ as candidates.
   void PassRegisteredVmsToMembership();
   void PublishView();
   asio::awaitable<void> Sleep(Duration aDuration);
--- a/include/dragonflymoor/Gateway/Gateway.h
+++ b/include/dragonflymoor/Gateway/Gateway.h
@@ -9,13 +9,13 @@
 
 namespace dfm {
 
-/// Everything that depends on the platform; provided by the platform's adapter.
+/// The parts of the gateway that depend on the platform that it runs on.
 struct PlatformAdapter
 {
   Protocol protocol;
   ObjectDecoders decoders;
-  /// Creates the client of the store. Its functions must be called on the thread that runs the
-  /// given context.
+  /// Creates the client of the store. The client's functions must be called on the thread that
+  /// runs the given context.
   std::function<StoreApi(asio::io_context&)> makeStore;
 };
 
@@ -23,11 +23,12 @@
 {
   SteeringSettings settings;
   PlatformAdapter platform;
-  /// Reads the settings again, so that changes apply while the process runs.
+  /// Reads the settings again, so that changes take effect while the process runs. Called on
+  /// SIGHUP and periodically.
   std::function<Checked<SteeringSettings>()> readSettings;
 };
 
-/// The daemon of an entry VM. The control thread maintains the state of the fleet, the traffic
+/// The daemon of an entry VM. Its control thread maintains the state of the fleet; its traffic
 /// thread serves requests.
 class Gateway
 {
--- a/include/dragonflymoor/Gateway/LoadExchange.h
+++ b/include/dragonflymoor/Gateway/LoadExchange.h
@@ -9,9 +9,9 @@
 
 namespace dfm {
 
-/// Exchanges load reports with other VMs over UDP: the number of requests that a VM has in flight
-/// at each instance. VMs of the own region, which share the instances, get reports more often. Must
-/// be used on the thread of its io_context.
+/// Exchanges messages with other VMs over UDP, mainly load reports: the number of requests that a
+/// VM has in flight at each instance. VMs of the own region, which share the instances, get reports
+/// more often. Must be used on the thread of its io_context.
 class LoadExchange
 {
 public:
@@ -21,10 +21,12 @@
 
   /// Binds the socket and starts receiving. All VMs use the same port.
   error_code Open(const Endpoint& aListen);
+  /// Replaces the VMs to which messages are sent. aVms may contain this VM; it is skipped.
   void SetReceivers(const std::vector<Vm>& aVms);
   /// Sends load reports to the groups that are due. Calls aReadLoads at most once, and only if a
   /// group is due. To be called every 10 ms.
   void OnTick(TimePoint aNow, const std::function<std::vector<InstanceLoad>()>& aReadLoads);
+  /// Sends aMessage once to each receiver. A datagram that cannot be sent is logged, not repeated.
   void SendToAll(const PeerMessage& aMessage);
 
 private:
@@ -33,7 +35,7 @@
   {
     Duration basePeriod{};               ///< Time between two reports while the receivers are few.
     size_t maxReceiversAtBasePeriod = 1; ///< With more, the period grows in proportion.
-    std::vector<asio::ip::udp::endpoint> targets;
+    std::vector<asio::ip::udp::endpoint> endpoints;
     Duration period{};
     TimePoint nextSendTime;
     TimePoint lastSendTime;
@@ -42,6 +44,7 @@
 
   asio::awaitable<void> Receive();
   ReceiverGroup& GroupFor(const Vm& aVm);
+  /// Sends aLoads to the group, unless they are unchanged and were sent recently or are empty.
   void SendLoads(ReceiverGroup& aGroup, TimePoint aNow, const std::vector<InstanceLoad>& aLoads);
 
   asio::ip::udp::socket socket_;
--- a/include/dragonflymoor/Gateway/PageServer.h
+++ b/include/dragonflymoor/Gateway/PageServer.h
@@ -12,27 +12,29 @@
 
 using Page = http::response<http::string_body>;
 
-/// A page with a body. Safe to call from any thread.
+/// Creates an HTTP/1.1 response with the given content type and body. Safe to call from any thread.
 Page
 MakePage(http::status aStatus, std::string_view aType, std::string aBody);
 
-/// HTTP server that answers GET requests from memory: readiness, directory, metrics. Belongs to the
-/// thread of its io_context.
+/// HTTP server that answers GET requests from memory: readiness, directory, metrics. Must be used
+/// on the thread of its io_context.
 class PageServer : public std::enable_shared_from_this<PageServer>
 {
 public:
+  /// Creates the response to a request for aTarget, the request target with its query.
   using Handler = std::function<Page(std::string_view aTarget)>;
 
   PageServer(asio::io_context& aContext, Handler aHandler);
 
+  /// Binds the port. Connections are accepted only after Start().
   error_code Listen(const Endpoint& aEndpoint);
   void Start();
-  /// Accepts no further connection.
+  /// Stops accepting connections. Open connections are still served.
   void Stop();
 
 private:
-  asio::awaitable<void> Accept(std::shared_ptr<PageServer> aSelf);
-  asio::awaitable<void> Serve(std::shared_ptr<PageServer> aSelf, tcp::socket aSocket);
+  asio::awaitable<void> AcceptConnections(std::shared_ptr<PageServer> aSelf);
+  asio::awaitable<void> ServeConnection(std::shared_ptr<PageServer> aSelf, tcp::socket aSocket);
 
   asio::io_context& context_;
   Handler handler_;
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -22,28 +22,33 @@
 
 constexpr std::string_view kComponent = "gateway";
 
-/// The traffic thread's clock: deadlines, queues and load reports are checked this often.
+/// How often the traffic thread checks deadlines, queues and load reports.
 constexpr Duration kTickPeriod = 10ms;
 
-constexpr Duration kSlowTickPeriod = 250ms;
+/// How often the traffic thread ticks the caller front and sets the gauges.
+constexpr Duration kGaugePeriod = 250ms;
 constexpr Duration kLogFlushPeriod = 100ms;
 
-/// The settings file may change without a signal.
-constexpr Duration kReloadPeriod = 2s;
+/// How often the settings are read again, because their file may change without a SIGHUP.
+constexpr Duration kSettingsPollPeriod = 2s;
 
-/// Callers learn within the life of a directory answer that this VM leaves; after this time it
-/// closes connections without a request and accepts no more.
-constexpr Duration kStopIdleAfter = 2s;
-constexpr Duration kStopAcceptingAfter = 2500ms;
+/// Delays from the beginning of a graceful stop until this VM closes idle connections and until it
+/// stops accepting connections. By then callers know that this VM is leaving, as the directory
+/// answers that they hold have expired.
+constexpr Duration kCloseIdleDelay = 2s;
+constexpr Duration kStopAcceptingDelay = 2500ms;
 
-/// Time left for the exit itself before the platform kills the process.
-constexpr Duration kStopMargin = 400ms;
+/// Part of the stop time that is reserved for the exit itself, because the platform kills the
+/// process at the end of the stop time.
+constexpr Duration kExitMargin = 400ms;
 
 constexpr size_t kMaxDirectoryAnswers = 64;
+
+/// Pause after a failed accept, so that a lasting error causes no busy loop.
 constexpr Duration kAcceptPause = 50ms;
 
 uint64_t
-RandomNumber()
+MakeRandomSeed()
 {
   std::random_device device;
   return (uint64_t{ device() } << 32) | device();
@@ -55,47 +60,50 @@
 {
   explicit Impl(GatewayOptions aOptions);
 
-  Findings Bind();
+  /// Binds all ports. Returns a finding for each port that cannot be bound.
+  Findings BindPorts();
   DispatcherHooks MakeDispatcherHooks();
-  void OnView(std::shared_ptr<const FleetView> aView);
-  void OnPeer(const PeerEnvelope& aEnvelope);
-  Page DirectoryPage(std::string_view aTarget);
-  Page ReadinessPage(std::string_view aTarget) const;
-  Page OperatorPage(std::string_view aTarget) const;
-  bool Ready() const { return view->routes != nullptr && !stopBegan; }
+  void OnFleetView(std::shared_ptr<const FleetView> aView);
+  void OnPeerMessage(const PeerEnvelope& aEnvelope);
+  Page MakeDirectoryPage(std::string_view aTarget);
+  Page MakeReadinessPage(std::string_view aTarget) const;
+  Page MakeOperatorPage(std::string_view aTarget) const;
+  bool IsReady() const { return fleetView->routes != nullptr && !stopBeginTime; }
   asio::awaitable<void> AcceptCallers();
-  asio::awaitable<void> Probe(Instance aInstance, std::string aHealthPath);
-  asio::awaitable<void> Tick();
+  asio::awaitable<void> CheckInstanceHealth(Instance aInstance, std::string aHealthPath);
+  asio::awaitable<void> RunPeriodicTasks();
   asio::awaitable<void> HandleSignals();
-  void Reload(std::string_view aCause);
+  /// Reads the settings again. Invalid settings are logged and the previous ones remain in force.
+  void ReloadSettings(std::string_view aCause);
   void BeginStop();
-  bool CheckStop(TimePoint aNow);
+  /// Runs the steps of a graceful stop that are due. Returns whether the stop has ended.
+  bool ContinueStop(TimePoint aNow);
 
   GatewayOptions options;
   SteeringSettings settings;
   Metrics metrics;
   Random random;
-  std::shared_ptr<const FleetView> view = std::make_shared<FleetView>();
-  asio::io_context traffic{ 1 };
-  asio::io_context control{ 1 };
+  std::shared_ptr<const FleetView> fleetView = std::make_shared<FleetView>();
+  asio::io_context trafficContext{ 1 };
+  asio::io_context controlContext{ 1 };
   Dispatcher dispatcher;
-  InstanceClient instances;
-  CallerFront front;
-  LoadExchange loads;
-  FleetSync fleet;
-  tcp::acceptor callers;
-  std::shared_ptr<PageServer> readiness;
-  std::shared_ptr<PageServer> directory;
-  std::shared_ptr<PageServer> operators;
+  InstanceClient instanceClient;
+  CallerFront callerFront;
+  LoadExchange loadExchange;
+  FleetSync fleetSync;
+  tcp::acceptor callerAcceptor;
+  std::shared_ptr<PageServer> readinessServer;
+  std::shared_ptr<PageServer> directoryServer;
+  std::shared_ptr<PageServer> operatorServer;
   asio::signal_set signals;
-  std::optional<TimePoint> stopBegan;
-  bool idleClosed = false;
+  std::optional<TimePoint> stopBeginTime; ///< Set once a graceful stop has begun.
+  bool idleConnectionsClosed = false;
 };
 
 Gateway::Impl::Impl(GatewayOptions aOptions)
   : options(std::move(aOptions))
   , settings(options.settings)
-  , random(RandomNumber())
+  , random(MakeRandomSeed())
   , dispatcher(DispatcherOptions{ .self = settings.self.id,
                                   .region = settings.self.region,
                                   .failureDomain = settings.self.failureDomain,
@@ -104,30 +112,34 @@
                                   .retrySlack = settings.retrySlack,
                                   .maxShift = settings.maxShift },
                MakeDispatcherHooks())
-  , instances(traffic, options.platform.protocol, metrics)
-  , front(traffic, options.platform.protocol, dispatcher, instances, metrics)
-  , loads(traffic, settings.self, [this](const PeerEnvelope& aEnvelope) { OnPeer(aEnvelope); })
-  , fleet(control,
-          FleetSyncOptions{ .self = settings.self,
-                            .seeds = settings.seeds,
-                            .randomSeed = random.Next() },
-          options.platform.makeStore(control),
-          options.platform.decoders,
-          metrics,
-          [this](std::shared_ptr<const FleetView> aView) {
-            asio::post(traffic, [this, given = std::move(aView)] { OnView(given); });
-          })
-  , callers(traffic)
-  , readiness(std::make_shared<PageServer>(
-      traffic,
-      [this](std::string_view aTarget) { return ReadinessPage(aTarget); }))
-  , directory(std::make_shared<PageServer>(
-      traffic,
-      [this](std::string_view aTarget) { return DirectoryPage(aTarget); }))
-  , operators(std::make_shared<PageServer>(
-      traffic,
-      [this](std::string_view aTarget) { return OperatorPage(aTarget); }))
-  , signals(traffic, SIGTERM, SIGINT, SIGHUP)
+  , instanceClient(trafficContext, options.platform.protocol, metrics)
+  , callerFront(trafficContext, options.platform.protocol, dispatcher, instanceClient, metrics)
+  , loadExchange(trafficContext,
+                 settings.self,
+                 [this](const PeerEnvelope& aEnvelope) { OnPeerMessage(aEnvelope); })
+  , fleetSync(controlContext,
+              FleetSyncOptions{ .self = settings.self,
+                                .seeds = settings.seeds,
+                                .randomSeed = random.Next() },
+              options.platform.makeStore(controlContext),
+              options.platform.decoders,
+              metrics,
+              [this](std::shared_ptr<const FleetView> aView) {
+                asio::post(trafficContext, [this, publishedView = std::move(aView)] {
+                  OnFleetView(publishedView);
+                });
+              })
+  , callerAcceptor(trafficContext)
+  , readinessServer(std::make_shared<PageServer>(
+      trafficContext,
+      [this](std::string_view aTarget) { return MakeReadinessPage(aTarget); }))
+  , directoryServer(std::make_shared<PageServer>(
+      trafficContext,
+      [this](std::string_view aTarget) { return MakeDirectoryPage(aTarget); }))
+  , operatorServer(std::make_shared<PageServer>(
+      trafficContext,
+      [this](std::string_view aTarget) { return MakeOperatorPage(aTarget); }))
+  , signals(trafficContext, SIGTERM, SIGINT, SIGHUP)
 {
 }
 
@@ -135,15 +147,16 @@
 Gateway::Impl::MakeDispatcherHooks()
 {
   return {
-    .startAttempt = [this](const InstanceAttempt& aAttempt) { front.StartAttempt(aAttempt); },
+    .startAttempt = [this](const InstanceAttempt& aAttempt) { callerFront.StartAttempt(aAttempt); },
     .refuseRequest =
       [this](Ticket aTicket, const RequestRefusal& aRefusal) {
-        front.RefuseRequest(aTicket, aRefusal);
+        callerFront.RefuseRequest(aTicket, aRefusal);
       },
-    .abandonAttempt = [this](Ticket aTicket) { front.AbandonAttempt(aTicket); },
+    .abandonAttempt = [this](Ticket aTicket) { callerFront.AbandonAttempt(aTicket); },
     .sendProbe =
       [this](const Instance& aInstance, const ServiceSpec& aSpec) {
-        asio::co_spawn(traffic, Probe(aInstance, aSpec.healthPath), asio::detached);
+        asio::co_spawn(
+          trafficContext, CheckInstanceHealth(aInstance, aSpec.healthPath), asio::detached);
       },
     .publishCrash =
       [this](const CrashReport& aReport) {
@@ -151,48 +164,49 @@
             kComponent,
             "request crashed an instance",
             { { "fingerprint", fmt::format("{:016x}", aReport.fingerprint) } });
-        loads.SendToAll(
+        loadExchange.SendToAll(
           PeerCrashReport{ .reportId = aReport.reportId, .fingerprint = aReport.fingerprint });
       },
   };
 }
 
 Findings
-Gateway::Impl::Bind()
+Gateway::Impl::BindPorts()
 {
   Findings findings;
-  const auto check =
-    [&findings](std::string_view aPlace, const Endpoint& aEndpoint, error_code aError) {
+  const auto addFindingOnError =
+    [&findings](std::string_view aSetting, const Endpoint& aEndpoint, error_code aError) {
       if (aError)
         findings.push_back(
-          { std::string(aPlace),
+          { std::string(aSetting),
             fmt::format("cannot listen on {}: {}", ToText(aEndpoint), aError.message()) });
     };
-  check("callers", settings.self.callers, ListenOn(callers, settings.self.callers));
-  check("readiness", settings.readiness, readiness->Listen(settings.readiness));
-  check("directory", settings.directory, directory->Listen(settings.directory));
-  check("operators", settings.operators, operators->Listen(settings.operators));
-  check("vmPorts", settings.loadReports, loads.Open(settings.loadReports));
-  check("vmPorts", settings.self.peers, fleet.Open());
+  addFindingOnError(
+    "callers", settings.self.callers, ListenOn(callerAcceptor, settings.self.callers));
+  addFindingOnError("readiness", settings.readiness, readinessServer->Listen(settings.readiness));
+  addFindingOnError("directory", settings.directory, directoryServer->Listen(settings.directory));
+  addFindingOnError("operators", settings.operators, operatorServer->Listen(settings.operators));
+  addFindingOnError("vmPorts", settings.loadReports, loadExchange.Open(settings.loadReports));
+  addFindingOnError("vmPorts", settings.self.peers, fleetSync.Open());
   return findings;
 }
 
 void
-Gateway::Impl::OnView(std::shared_ptr<const FleetView> aView)
+Gateway::Impl::OnFleetView(std::shared_ptr<const FleetView> aView)
 {
-  view = std::move(aView);
+  fleetView = std::move(aView);
   const TimePoint now = ReadClocks().monotonic;
-  front.SetView(view);
-  loads.SetReceivers(view->usableVms);
-  std::set<BackendId> known;
-  for (const Instance& instance : view->instances)
-    known.insert(instance.id);
-  instances.KeepOnlyConnectionsTo(known);
-  dispatcher.OnFleet(now, view);
+  callerFront.SetView(fleetView);
+  loadExchange.SetReceivers(fleetView->usableVms);
+  std::set<BackendId> knownInstances;
+  for (const Instance& instance : fleetView->instances)
+    knownInstances.insert(instance.id);
+  instanceClient.KeepOnlyConnectionsTo(knownInstances);
+  dispatcher.OnFleet(now, fleetView);
 }
 
 void
-Gateway::Impl::OnPeer(const PeerEnvelope& aEnvelope)
+Gateway::Impl::OnPeerMessage(const PeerEnvelope& aEnvelope)
 {
   const TimePoint now = ReadClocks().monotonic;
   if (const auto* load = std::get_if<PeerLoad>(&aEnvelope.message)) {
@@ -204,13 +218,13 @@
 }
 
 Page
-Gateway::Impl::DirectoryPage(std::string_view aTarget)
+Gateway::Impl::MakeDirectoryPage(std::string_view aTarget)
 {
   metrics.Count("directory-questions");
   const auto query = options.platform.protocol.parseDirectoryQuery(aTarget);
   if (!query)
     return MakePage(http::status::not_found, "text/plain", "not a question\n");
-  const auto vms = ResolveVms(*view, *query, kMaxDirectoryAnswers, random);
+  const auto vms = ResolveVms(*fleetView, *query, kMaxDirectoryAnswers, random);
   if (vms.empty())
     return MakePage(http::status::service_unavailable, "text/plain", "no vm is known\n");
   return MakePage(http::status::ok,
@@ -219,16 +233,16 @@
 }
 
 Page
-Gateway::Impl::ReadinessPage(std::string_view aTarget) const
+Gateway::Impl::MakeReadinessPage(std::string_view aTarget) const
 {
   if (aTarget.substr(0, aTarget.find('?')) != options.platform.protocol.readinessTarget)
     return MakePage(http::status::not_found, "text/plain", "no such page\n");
-  return Ready() ? MakePage(http::status::ok, "text/plain", "ready\n")
-                 : MakePage(http::status::service_unavailable, "text/plain", "not ready\n");
+  return IsReady() ? MakePage(http::status::ok, "text/plain", "ready\n")
+                   : MakePage(http::status::service_unavailable, "text/plain", "not ready\n");
 }
 
 Page
-Gateway::Impl::OperatorPage(std::string_view aTarget) const
+Gateway::Impl::MakeOperatorPage(std::string_view aTarget) const
 {
   if (aTarget == "/metrics")
     return MakePage(http::status::ok, "text/plain; version=0.0.4", metrics.Text());
@@ -238,25 +252,25 @@
 asio::awaitable<void>
 Gateway::Impl::AcceptCallers()
 {
-  while (callers.is_open()) {
-    auto [error, socket] = co_await callers.async_accept(kAwaitTuple);
+  while (callerAcceptor.is_open()) {
+    auto [error, socket] = co_await callerAcceptor.async_accept(kAwaitTuple);
     if (error == asio::error::operation_aborted)
       co_return;
     if (!error) {
-      front.Serve(std::move(socket));
+      callerFront.Serve(std::move(socket));
       continue;
     }
     metrics.Count("accepts-failed");
     Log(LogLevel::Warning, kComponent, "accept failed", { { "error", error.message() } });
-    asio::steady_timer pause(traffic, kAcceptPause);
+    asio::steady_timer pause(trafficContext, kAcceptPause);
     co_await pause.async_wait(kAwaitTuple);
   }
 }
 
 asio::awaitable<void>
-Gateway::Impl::Probe(Instance aInstance, std::string aHealthPath)
+Gateway::Impl::CheckInstanceHealth(Instance aInstance, std::string aHealthPath)
 {
-  const HealthResult health = co_await instances.CheckHealth(aInstance, aHealthPath);
+  const HealthResult health = co_await instanceClient.CheckHealth(aInstance, aHealthPath);
   Log(LogLevel::Info,
       kComponent,
       "health check",
@@ -267,34 +281,34 @@
 }
 
 asio::awaitable<void>
-Gateway::Impl::Tick()
+Gateway::Impl::RunPeriodicTasks()
 {
-  asio::steady_timer timer(traffic);
-  TimePoint nextSlow;
-  TimePoint nextFlush;
-  TimePoint nextReload = ReadClocks().monotonic + kReloadPeriod;
+  asio::steady_timer timer(trafficContext);
+  TimePoint nextGaugeTime;
+  TimePoint nextLogFlushTime;
+  TimePoint nextSettingsPollTime = ReadClocks().monotonic + kSettingsPollPeriod;
   for (;;) {
     timer.expires_after(kTickPeriod);
     co_await timer.async_wait(kAwaitTuple);
     const TimePoint now = ReadClocks().monotonic;
-    instances.OnTick(now);
+    instanceClient.OnTick(now);
     dispatcher.OnTick(now);
-    loads.OnTick(now, [this] { return dispatcher.OwnLoad(); });
-    if (now >= nextSlow) {
-      nextSlow = now + kSlowTickPeriod;
-      front.OnTick(now);
+    loadExchange.OnTick(now, [this] { return dispatcher.OwnLoad(); });
+    if (now >= nextGaugeTime) {
+      nextGaugeTime = now + kGaugePeriod;
+      callerFront.OnTick(now);
       metrics.SetGauge("requests_waiting", static_cast<double>(dispatcher.WaitingCount()));
       metrics.SetGauge("requests_in_flight", static_cast<double>(dispatcher.InFlightCount()));
     }
-    if (now >= nextFlush) {
-      nextFlush = now + kLogFlushPeriod;
+    if (now >= nextLogFlushTime) {
+      nextLogFlushTime = now + kLogFlushPeriod;
       FlushLog();
     }
-    if (now >= nextReload) {
-      nextReload = now + kReloadPeriod;
-      Reload("change of the file");
+    if (now >= nextSettingsPollTime) {
+      nextSettingsPollTime = now + kSettingsPollPeriod;
+      ReloadSettings("change of the file");
     }
-    if (stopBegan && CheckStop(now))
+    if (stopBeginTime && ContinueStop(now))
       co_return;
   }
 }
@@ -307,71 +321,72 @@
     if (error)
       co_return;
     if (signal == SIGHUP)
-      Reload("SIGHUP");
-    else if (!stopBegan)
+      ReloadSettings("SIGHUP");
+    else if (!stopBeginTime)
       BeginStop();
   }
 }
 
 void
-Gateway::Impl::Reload(std::string_view aCause)
+Gateway::Impl::ReloadSettings(std::string_view aCause)
 {
-  const auto fresh = options.readSettings();
-  if (!fresh) {
+  const auto newSettings = options.readSettings();
+  if (!newSettings) {
     Log(LogLevel::Error,
         kComponent,
         "settings rejected",
-        { { "cause", std::string(aCause) }, { "findings", FormatFindings(fresh.error()) } });
+        { { "cause", std::string(aCause) }, { "findings", FormatFindings(newSettings.error()) } });
     return;
   }
-  if (*fresh == options.settings) {
+  if (*newSettings == options.settings) {
     if (aCause == "SIGHUP")
       Log(LogLevel::Info, kComponent, "settings unchanged", { { "cause", std::string(aCause) } });
     return;
   }
-  options.settings = *fresh;
-  // Addresses and identity hold for the life of the process.
-  settings.stopTime = fresh->stopTime;
-  settings.directoryTtl = fresh->directoryTtl;
+  options.settings = *newSettings;
+  // Only these two settings take effect while the process runs. Addresses and identity remain
+  // fixed for its lifetime.
+  settings.stopTime = newSettings->stopTime;
+  settings.directoryTtl = newSettings->directoryTtl;
   Log(LogLevel::Info, kComponent, "settings read again", { { "cause", std::string(aCause) } });
 }
 
 void
 Gateway::Impl::BeginStop()
 {
-  stopBegan = ReadClocks().monotonic;
+  stopBeginTime = ReadClocks().monotonic;
   Log(LogLevel::Info,
       kComponent,
       "graceful stop begins",
-      { { "unanswered", std::to_string(front.UnansweredRequestCount()) } });
-  front.BeginStop();
-  asio::post(control, [this] { fleet.BeginStop(); });
+      { { "unanswered", std::to_string(callerFront.UnansweredRequestCount()) } });
+  callerFront.BeginStop();
+  asio::post(controlContext, [this] { fleetSync.BeginStop(); });
 }
 
 bool
-Gateway::Impl::CheckStop(TimePoint aNow)
+Gateway::Impl::ContinueStop(TimePoint aNow)
 {
-  const Duration since = aNow - *stopBegan;
-  if (since >= kStopIdleAfter && !idleClosed) {
-    idleClosed = true;
-    front.CloseIdleConnections();
+  const Duration stopDuration = aNow - *stopBeginTime;
+  if (stopDuration >= kCloseIdleDelay && !idleConnectionsClosed) {
+    idleConnectionsClosed = true;
+    callerFront.CloseIdleConnections();
   }
-  if (since < kStopAcceptingAfter)
+  if (stopDuration < kStopAcceptingDelay)
     return false;
-  error_code ignored; // The socket is given up in any case.
-  callers.close(ignored);
-  front.CloseIdleConnections();
-  if (front.UnansweredRequestCount() > 0 && since < settings.stopTime - kStopMargin)
+  error_code ignored; // The acceptor is discarded even if closing it fails.
+  callerAcceptor.close(ignored);
+  callerFront.CloseIdleConnections();
+  if (callerFront.UnansweredRequestCount() > 0 && stopDuration < settings.stopTime - kExitMargin)
     return false;
   Log(LogLevel::Info,
       kComponent,
       "graceful stop has ended",
-      { { "unanswered", std::to_string(front.UnansweredRequestCount()) } });
-  asio::post(control, [this] {
-    fleet.Leave();
-    control.stop();
+      { { "unanswered", std::to_string(callerFront.UnansweredRequestCount()) } });
+  asio::post(controlContext, [this] {
+    fleetSync.Leave();
+    controlContext.stop();
   });
-  traffic.stop();
+  trafficContext.stop();
   return true;
 }
 
@@ -386,7 +401,7 @@
 Gateway::Create(GatewayOptions aOptions)
 {
   auto impl = std::make_unique<Impl>(std::move(aOptions));
-  Findings findings = impl->Bind();
+  Findings findings = impl->BindPorts();
   if (!findings.empty())
     return tl::unexpected(std::move(findings));
   return std::unique_ptr<Gateway>(new Gateway(std::move(impl)));
@@ -403,15 +418,15 @@
         { "region", impl.settings.self.region.Value() },
         { "callers", ToText(impl.settings.self.callers) },
         { "store", ToText(impl.settings.store) } });
-  impl.readiness->Start();
-  impl.directory->Start();
-  impl.operators->Start();
-  asio::co_spawn(impl.traffic, impl.AcceptCallers(), asio::detached);
-  asio::co_spawn(impl.traffic, impl.Tick(), asio::detached);
-  asio::co_spawn(impl.traffic, impl.HandleSignals(), asio::detached);
-  impl.fleet.Start();
-  std::thread controlThread([&impl] { impl.control.run(); });
-  impl.traffic.run();
+  impl.readinessServer->Start();
+  impl.directoryServer->Start();
+  impl.operatorServer->Start();
+  asio::co_spawn(impl.trafficContext, impl.AcceptCallers(), asio::detached);
+  asio::co_spawn(impl.trafficContext, impl.RunPeriodicTasks(), asio::detached);
+  asio::co_spawn(impl.trafficContext, impl.HandleSignals(), asio::detached);
+  impl.fleetSync.Start();
+  std::thread controlThread([&impl] { impl.controlContext.run(); });
+  impl.trafficContext.run();
   controlThread.join();
   FlushLog();
 }
@@ -419,8 +434,8 @@
 void
 Gateway::BeginStop()
 {
-  asio::post(impl_->traffic, [impl = impl_.get()] {
-    if (!impl->stopBegan)
+  asio::post(impl_->trafficContext, [impl = impl_.get()] {
+    if (!impl->stopBeginTime)
       impl->BeginStop();
   });
 }
--- a/lib/Gateway/LoadExchange.cpp
+++ b/lib/Gateway/LoadExchange.cpp
@@ -12,29 +12,30 @@
 namespace {
 
 /// Period of load reports to VMs of the own region: a third of the duration of the shortest
-/// requests, so that most slots that become free are seen in time.
+/// requests, so that other VMs learn in time of most slots that become free.
 constexpr Duration kSameRegionPeriod = 25ms;
 
-/// Period of load reports to VMs of other regions, which only compare regions.
+/// Period of load reports to VMs of other regions, which use them only to compare regions.
 constexpr Duration kOtherRegionsPeriod = 100ms;
 
-/// The base periods hold up to this many receivers. With more, the periods grow in proportion, so
-/// that one VM sends the same number of bytes. Bytes between failure domains of a region are
-/// priced, and most requests stay in one failure domain, so the other domains may get reports
-/// later.
-constexpr size_t kDomainReceivers = 6;
-constexpr size_t kRegionReceivers = 2;
-constexpr size_t kOtherRegionsReceivers = 6;
+/// Number of receivers up to which a group keeps its base period. With more receivers, the period
+/// grows in proportion, so that the VM sends no more bytes per second. Bytes between failure
+/// domains of a region are priced, and most requests stay in one failure domain, so the other
+/// domains may get reports later.
+constexpr size_t kMaxSameDomainReceiversAtBasePeriod = 6;
+constexpr size_t kMaxSameRegionReceiversAtBasePeriod = 2;
+constexpr size_t kMaxOtherRegionsReceiversAtBasePeriod = 6;
 
-/// How long a report is valid, in periods, so that two lost reports in a row do not expire it. It
-/// is at least kMinReportLife, which leaves time for the repetition of an unchanged load.
+/// How long a report is valid, in periods: two lost reports in a row do not let it expire. Reports
+/// are valid for at least kMinReportLife, as unchanged loads are repeated at a longer period.
 constexpr int kReportLifePeriods = 3;
 constexpr Duration kMinReportLife = 1s;
 
-/// An unchanged load is sent again after this time, as datagrams get lost and receivers discard a
-/// load after 1 s.
-constexpr Duration kRepeatPeriod = 300ms;
+/// Unchanged loads are sent again after this time, as datagrams get lost and receivers discard
+/// loads after 1 s.
+constexpr Duration kUnchangedLoadsRepeatPeriod = 300ms;
 
+/// Size of the receive buffer: above the largest payload of a UDP datagram.
 constexpr size_t kMaxDatagramBytes = 64UL * 1024;
 
 } // namespace
@@ -44,11 +45,11 @@
   , self_(std::move(aSelf))
   , messageHandler_(std::move(aMessageHandler))
   , sameDomainGroup_{ .basePeriod = kSameRegionPeriod,
-                      .maxReceiversAtBasePeriod = kDomainReceivers }
+                      .maxReceiversAtBasePeriod = kMaxSameDomainReceiversAtBasePeriod }
   , sameRegionGroup_{ .basePeriod = kSameRegionPeriod,
-                      .maxReceiversAtBasePeriod = kRegionReceivers }
+                      .maxReceiversAtBasePeriod = kMaxSameRegionReceiversAtBasePeriod }
   , otherRegionsGroup_{ .basePeriod = kOtherRegionsPeriod,
-                        .maxReceiversAtBasePeriod = kOtherRegionsReceivers }
+                        .maxReceiversAtBasePeriod = kMaxOtherRegionsReceiversAtBasePeriod }
 {
 }
 
@@ -74,14 +75,15 @@
 LoadExchange::SetReceivers(const std::vector<Vm>& aVms)
 {
   for (ReceiverGroup* group : { &sameDomainGroup_, &sameRegionGroup_, &otherRegionsGroup_ })
-    group->targets.clear();
+    group->endpoints.clear();
   for (const Vm& vm : aVms) {
     if (vm.id != self_.id)
-      GroupFor(vm).targets.emplace_back(ToAddress(vm.peers), port_);
+      GroupFor(vm).endpoints.emplace_back(ToAddress(vm.peers), port_);
   }
   for (ReceiverGroup* group : { &sameDomainGroup_, &sameRegionGroup_, &otherRegionsGroup_ }) {
-    const size_t receiverCount = std::max(group->targets.size(), group->maxReceiversAtBasePeriod);
-    group->period = group->basePeriod * receiverCount / group->maxReceiversAtBasePeriod;
+    const size_t periodReceiverCount =
+      std::max(group->endpoints.size(), group->maxReceiversAtBasePeriod);
+    group->period = group->basePeriod * periodReceiverCount / group->maxReceiversAtBasePeriod;
   }
 }
 
@@ -90,7 +92,7 @@
 {
   std::optional<std::vector<InstanceLoad>> loads;
   for (ReceiverGroup* group : { &sameDomainGroup_, &sameRegionGroup_, &otherRegionsGroup_ }) {
-    if (aNow < group->nextSendTime || group->targets.empty())
+    if (aNow < group->nextSendTime || group->endpoints.empty())
       continue;
     if (!loads)
       loads = aReadLoads();
@@ -104,28 +106,29 @@
                         const std::vector<InstanceLoad>& aLoads)
 {
   aGroup.nextSendTime = aNow + aGroup.period;
-  const bool unchanged = aLoads == aGroup.lastSentLoads;
-  if (unchanged && (aLoads.empty() || aNow - aGroup.lastSendTime < kRepeatPeriod))
+  const bool loadsUnchanged = aLoads == aGroup.lastSentLoads;
+  if (loadsUnchanged &&
+      (aLoads.empty() || aNow - aGroup.lastSendTime < kUnchangedLoadsRepeatPeriod))
     return;
   aGroup.lastSentLoads = aLoads;
   aGroup.lastSendTime = aNow;
-  const std::string bytes =
+  const std::string datagram =
     EncodePeer(self_.id,
                PeerLoad{ .loads = aLoads,
                          .life = std::max(kMinReportLife, kReportLifePeriods * aGroup.period) });
-  error_code ignored; // The next report replaces a lost one.
-  for (const auto& target : aGroup.targets)
-    socket_.send_to(asio::buffer(bytes), target, 0, ignored);
+  error_code ignored; // A report that is not sent is replaced by the next one.
+  for (const auto& endpoint : aGroup.endpoints)
+    socket_.send_to(asio::buffer(datagram), endpoint, 0, ignored);
 }
 
 void
 LoadExchange::SendToAll(const PeerMessage& aMessage)
 {
-  const std::string bytes = EncodePeer(self_.id, aMessage);
+  const std::string datagram = EncodePeer(self_.id, aMessage);
   for (const ReceiverGroup* group : { &sameDomainGroup_, &sameRegionGroup_, &otherRegionsGroup_ }) {
-    for (const auto& target : group->targets) {
+    for (const auto& endpoint : group->endpoints) {
       error_code error;
-      socket_.send_to(asio::buffer(bytes), target, 0, error);
+      socket_.send_to(asio::buffer(datagram), endpoint, 0, error);
       if (error)
         Log(LogLevel::Warning, "peers", "datagram not sent", { { "error", error.message() } });
     }
@@ -135,17 +138,17 @@
 asio::awaitable<void>
 LoadExchange::Receive()
 {
-  std::vector<char> bytes(kMaxDatagramBytes);
-  asio::ip::udp::endpoint sender;
+  std::vector<char> datagram(kMaxDatagramBytes);
+  asio::ip::udp::endpoint senderEndpoint;
   for (;;) {
-    auto [error, count] =
-      co_await socket_.async_receive_from(asio::buffer(bytes), sender, kAwaitTuple);
+    auto [error, byteCount] =
+      co_await socket_.async_receive_from(asio::buffer(datagram), senderEndpoint, kAwaitTuple);
     if (error == asio::error::operation_aborted)
       co_return;
-    // The error concerns a datagram sent earlier, to a receiver that is unreachable.
+    // The error reports that a receiver of an earlier datagram is unreachable.
     if (error)
       continue;
-    const auto message = DecodePeer({ bytes.data(), count });
+    const auto message = DecodePeer({ datagram.data(), byteCount });
     if (message)
       messageHandler_(*message);
     else
--- a/lib/Gateway/PageServer.cpp
+++ b/lib/Gateway/PageServer.cpp
@@ -15,10 +15,12 @@
 
 namespace {
 
-/// Callers ask again after seconds; a connection without a request for longer only costs memory.
+/// Clients repeat their requests every few seconds; a connection that is idle for longer only costs
+/// memory.
 constexpr auto kIdleTimeout = std::chrono::seconds(30);
 
-/// Pause after a failed accept, which is mostly caused by a lack of file descriptors.
+/// Pause after a failed accept. The usual cause is a lack of file descriptors, which an immediate
+/// retry would meet again.
 constexpr auto kAcceptPause = std::chrono::milliseconds(100);
 
 } // namespace
@@ -48,18 +50,18 @@
 void
 PageServer::Start()
 {
-  asio::co_spawn(context_, Accept(shared_from_this()), asio::detached);
+  asio::co_spawn(context_, AcceptConnections(shared_from_this()), asio::detached);
 }
 
 void
 PageServer::Stop()
 {
-  error_code ignored; // The socket is given up in any case.
+  error_code ignored; // The acceptor is discarded even if closing it fails.
   acceptor_.close(ignored);
 }
 
 asio::awaitable<void>
-PageServer::Accept(std::shared_ptr<PageServer> aSelf)
+PageServer::AcceptConnections(std::shared_ptr<PageServer> aSelf)
 {
   while (acceptor_.is_open()) {
     auto [error, socket] = co_await acceptor_.async_accept(kAwaitTuple);
@@ -71,12 +73,12 @@
       co_await pause.async_wait(kAwaitTuple);
       continue;
     }
-    asio::co_spawn(context_, Serve(aSelf, std::move(socket)), asio::detached);
+    asio::co_spawn(context_, ServeConnection(aSelf, std::move(socket)), asio::detached);
   }
 }
 
 asio::awaitable<void>
-PageServer::Serve(std::shared_ptr<PageServer> aSelf, tcp::socket aSocket)
+PageServer::ServeConnection(std::shared_ptr<PageServer> aSelf, tcp::socket aSocket)
 {
   SetLiveness(aSocket);
   beast::tcp_stream stream(std::move(aSocket));
