--- a/include/dragonflymoor/Steering/Directory.h
+++ b/include/dragonflymoor/Steering/Directory.h
@@ -8,7 +8,7 @@
 
 namespace dfm {
 
-/// "Which VMs do I use": asked by a caller for one host.
+/// A caller's query for the VMs that it may use for one host.
 struct DirectoryQuery
 {
   std::string host;
@@ -18,9 +18,10 @@
   auto operator<=>(const DirectoryQuery&) const = default;
 };
 
-/// The VMs that a caller may use, at most aMaxVms: those of its own region, or, when none of them
-/// is usable, those of regions in which all routes of the host may be served, or else all others.
-/// Safe to call from any thread with a Random of its own.
+/// Returns the addresses of at most aMaxVms VMs that a caller may use: the usable VMs of its own
+/// region; if there are none, those of regions in which all routes of the host may be served; if
+/// there are none either, those of all other regions. Thread-safe if each thread passes its own
+/// aRandom.
 std::vector<Endpoint>
 ResolveVms(const FleetView& aView, const DirectoryQuery& aQuery, size_t aMaxVms, Random& aRandom);
 
--- a/include/dragonflymoor/Steering/FleetView.h
+++ b/include/dragonflymoor/Steering/FleetView.h
@@ -19,9 +19,9 @@
   RegionId region;
   FailureDomainId failureDomain;
   Endpoint endpoint;
-  unsigned slots = 1; ///< Requests served at once.
+  unsigned slots = 1; ///< Number of requests that the instance can serve concurrently.
   bool draining = false;
-  TimePoint coldUntil; ///< Until then the instance can handle only the service's cold rate.
+  TimePoint coldUntil; ///< Until then it handles only the service's coldRequestsPerSecond.
 
   bool operator==(const Instance&) const = default;
 };
@@ -32,11 +32,11 @@
 {
   std::shared_ptr<const RouteIndex> routes; ///< Null while no manifest is known.
   std::vector<Instance> instances;
-  std::set<FailureDomainId> evacuated; ///< Their instances get no new requests.
+  std::set<FailureDomainId> evacuated; ///< Instances in these failure domains get no new requests.
   std::vector<Vm> usableVms;           ///< Live and not leaving, this VM included while it serves.
-  std::vector<Vm> knownVms;            ///< Also those that may only be unreachable.
-  uint64_t instancesRevision = 0;      ///< Of the store; for logs.
-  uint64_t evacuationsRevision = 0;    ///< Of the store; for logs.
+  std::vector<Vm> knownVms;         ///< Also VMs that do not answer but may merely be unreachable.
+  uint64_t instancesRevision = 0;   ///< Store revision of the instances; for logs.
+  uint64_t evacuationsRevision = 0; ///< Store revision of the evacuations; for logs.
 };
 
 } // namespace dfm
--- a/include/dragonflymoor/Steering/Manifest.h
+++ b/include/dragonflymoor/Steering/Manifest.h
@@ -12,7 +12,7 @@
 
 namespace dfm {
 
-/// Part of a route's requests that goes to one service.
+/// A service that receives part of a route's requests, and the weight of that part.
 struct SplitPart
 {
   ServiceId service;
@@ -21,17 +21,17 @@
   auto operator<=>(const SplitPart&) const = default;
 };
 
-/// Requests of one host below one path prefix, and how they are to be served.
+/// Rules for serving the requests for one host below one path prefix.
 struct Route
 {
   std::string name;
   std::string host;       ///< Lower case, without port.
   std::string pathPrefix; ///< Begins and ends with a slash.
   bool idempotent = false;
-  Duration timeout{};       ///< Longest time until the final answer.
+  Duration timeout{};       ///< Time limit for the final answer.
   Duration goal{};          ///< An answer within this time has its full value.
   unsigned priority = 0;    ///< 0 is the most urgent.
-  unsigned maxAttempts = 1; ///< Instances that one request may be sent to.
+  unsigned maxAttempts = 1; ///< Number of instances that one request may be sent to.
   bool sticky = false;      ///< Instances serve an object faster if they have served it before.
   std::vector<RegionId> homeRegions; ///< Only these may serve the route; empty: all.
   std::vector<SplitPart> parts;      ///< Never empty.
@@ -39,20 +39,19 @@
   auto operator<=>(const Route&) const = default;
 };
 
-/// What the operator declares of a service.
+/// The operator's settings for one service.
 struct ServiceSpec
 {
   ServiceId id;
   std::string healthPath;
-  unsigned maxConnections = 0; ///< Of one instance, from all callers together.
-  Duration coldStart{};        ///< How long an instance is cold after its start.
-  double coldRequestsPerSecond =
-    0; ///< Rate that a cold instance can handle, from all VMs together.
+  unsigned maxConnections = 0;      ///< Of one instance, from all callers together.
+  Duration coldStart{};             ///< Time for which an instance is cold after its start.
+  double coldRequestsPerSecond = 0; ///< Request rate that a cold instance can handle, over all VMs.
 
   auto operator<=>(const ServiceSpec&) const = default;
 };
 
-/// Bounds for what a caller may send.
+/// Limits for the requests and connections of callers.
 struct CallerLimits
 {
   size_t headerBytes = 16'384;
@@ -63,7 +62,7 @@
   auto operator<=>(const CallerLimits&) const = default;
 };
 
-/// The operator's configuration in one version. A higher version replaces a lower one.
+/// One version of the operator's configuration. A higher version replaces a lower one.
 struct Manifest
 {
   uint64_t version = 0;
@@ -80,8 +79,8 @@
 public:
   explicit RouteIndex(std::shared_ptr<const Manifest> aManifest);
 
-  /// The route with the longest prefix of aPath on aHost, or null. A port in aHost and the case of
-  /// its letters do not matter. The route lives as long as the manifest.
+  /// Returns the route of aHost with the longest path prefix that matches aPath, or null. A port in
+  /// aHost and the case of its letters are ignored. The route lives as long as the manifest.
   const Route* Find(std::string_view aHost, std::string_view aPath) const;
 
   /// Whether the host has routes, and all of them may be served in aRegion.
--- a/include/dragonflymoor/Steering/ObjectCounter.h
+++ b/include/dragonflymoor/Steering/ObjectCounter.h
@@ -7,19 +7,19 @@
 
 namespace dfm {
 
-/// Estimates how many objects the requests of a service concern, from a sample of the requests: the
-/// more often keys repeat, the fewer objects there are. Not thread-safe.
+/// Estimates the number of distinct objects that a service's requests refer to, from a sample of
+/// the requests: the more often keys repeat, the fewer objects there are. Not thread-safe.
 class ObjectCounter
 {
 public:
   void OnRequest(uint64_t aKey);
 
-  /// 0 while the sample is too small to tell.
+  /// Estimated number of objects, or 0 while the sample is too small for an estimate.
   double EstimatedCount() const { return estimate_; }
 
 private:
-  std::unordered_set<uint64_t> keys_;
-  size_t requests_ = 0;
+  std::unordered_set<uint64_t> sampledKeys_;
+  size_t sampledRequests_ = 0;
   double estimate_ = 0;
 };
 
--- a/include/dragonflymoor/Steering/PeerLoads.h
+++ b/include/dragonflymoor/Steering/PeerLoads.h
@@ -10,7 +10,7 @@
 
 namespace dfm {
 
-/// Requests of one VM at one instance, as told to other VMs.
+/// Number of requests that one VM has in flight at one instance, as reported to other VMs.
 struct InstanceLoad
 {
   uint32_t instance = 0; ///< Low half of the hash of the instance's id.
@@ -19,28 +19,30 @@
   auto operator<=>(const InstanceLoad&) const = default;
 };
 
-/// UDP: what a VM tells others of its requests in flight.
+/// Report of a VM's requests in flight, sent to other VMs over UDP.
 struct PeerLoad
 {
-  std::vector<InstanceLoad> loads; ///< Instances without requests are left out.
-  Duration life{};                 ///< How long the report is valid unless another one replaces it.
+  std::vector<InstanceLoad> loads; ///< Instances without requests are omitted.
+  Duration life{};                 ///< Validity of the report unless a later one replaces it.
 
   auto operator<=>(const PeerLoad&) const = default;
 };
 
 /// Sums the requests that other VMs have in flight at each instance, from their latest reports. A
-/// report costs as much as it has entries, whatever the number of instances. Not thread-safe.
+/// report is processed in time proportional to its entries, regardless of the number of instances.
+/// Not thread-safe.
 class PeerLoads
 {
 public:
   /// Replaces the VM's earlier report. Returns the instances whose sum may have changed.
   std::vector<uint32_t> OnReport(TimePoint aNow, const VmId& aVm, const PeerLoad& aLoad);
 
-  /// Drops reports that were not renewed in time: the VM is gone or cut off, and its requests have
-  /// ended or will soon. Returns the instances whose sum may have changed.
+  /// Drops reports that have expired without being replaced: their VM has stopped or is
+  /// unreachable, and its requests have ended or will end soon. Returns the instances whose sum may
+  /// have changed.
   std::vector<uint32_t> DropExpired(TimePoint aNow);
 
-  /// Requests of all other VMs at an instance.
+  /// Number of requests that all other VMs together have in flight at aInstance.
   unsigned InFlightAt(uint32_t aInstance) const;
 
 private:
@@ -50,10 +52,11 @@
     std::vector<InstanceLoad> loads;
   };
 
+  /// Subtracts aReport from the sums and appends its instances to aChanged.
   void SubtractReport(const Report& aReport, std::vector<uint32_t>& aChanged);
 
-  std::map<VmId, Report> reports_;
-  std::unordered_map<uint32_t, unsigned> sums_;
+  std::map<VmId, Report> reportsByVm_;
+  std::unordered_map<uint32_t, unsigned> inFlightByInstance_;
 };
 
 } // namespace dfm
--- a/include/dragonflymoor/Steering/PeerMessages.h
+++ b/include/dragonflymoor/Steering/PeerMessages.h
@@ -12,7 +12,7 @@
 
 namespace dfm {
 
-/// UDP: a request crashed an instance.
+/// Notifies other VMs, over UDP, that a request crashed an instance.
 struct PeerCrashReport
 {
   uint64_t reportId = 0;
@@ -21,28 +21,31 @@
   auto operator<=>(const PeerCrashReport&) const = default;
 };
 
-/// TCP: asks for all kinds of objects of which the receiver knows a later revision.
+/// Sent over TCP. Asks for the objects of every kind of which the receiver knows a later revision.
 struct StateRequest
 {
+  /// The sender's revision of each kind of object.
   std::array<uint64_t, kObjectKindCount> revisions{};
 
   auto operator<=>(const StateRequest&) const = default;
 };
 
+/// Answer to a StateRequest.
 struct StateReply
 {
   struct Kind
   {
     ObjectKind kind = ObjectKind::Manifest;
-    ObjectSet set; ///< All objects, or those that changed since the requested revision.
-    bool complete = true;
-    std::vector<std::string> removed; ///< Objects that are gone, when not whole.
+    ObjectSet set;        ///< All objects, or those that changed since the requested revision.
+    bool complete = true; ///< Whether set has all objects, not only changed ones.
+    std::vector<std::string> removed; ///< Names of removed objects if not complete.
 
     bool operator==(const Kind&) const = default;
   };
-  /// The store answers the sender, and has for long enough that lapsed entries are back.
+  /// Whether the store has answered the sender for long enough that expired entries are registered
+  /// again.
   bool storeSteady = false;
-  /// The store answers the sender's own calls.
+  /// Whether the store answers the sender's own calls.
   bool storeReachable = false;
   std::vector<Kind> kinds;
 
@@ -51,6 +54,7 @@
 
 using PeerMessage = std::variant<PeerLoad, PeerCrashReport, StateRequest, StateReply>;
 
+/// A message together with the VM that sent it.
 struct PeerEnvelope
 {
   VmId sender;
@@ -63,8 +67,8 @@
 std::string
 EncodePeer(const VmId& aSender, const PeerMessage& aMessage);
 
-/// Inverse of EncodePeer. Bytes from an untrusted sender give an error and never undefined
-/// behaviour. Safe to call from any thread.
+/// Inverse of EncodePeer. Malformed bytes, also from an untrusted sender, result in an error and
+/// never in undefined behaviour. Safe to call from any thread.
 Decoded<PeerEnvelope>
 DecodePeer(std::string_view aBytes);
 
--- a/include/dragonflymoor/Steering/SpillControl.h
+++ b/include/dragonflymoor/Steering/SpillControl.h
@@ -11,34 +11,37 @@
 
 struct SpillOptions
 {
-  /// Use of the own region's slots above which keys move away, and below which they come back. The
-  /// gap between them keeps the share from oscillating.
+  /// Utilization (busy slots divided by all slots) of this VM's own region above which keys move to
+  /// another region, and below which they return. The gap between the two bounds keeps the share
+  /// from oscillating.
   double moveAbove = 0.85;
   double returnBelow = 0.65;
-  /// Another region receives keys only below takeBelow of its use, and returns them above
-  /// giveBackAbove.
+  /// Another region receives keys only while its utilization is below takeBelow, and returns them
+  /// when its utilization exceeds giveBackAbove.
   double takeBelow = 0.7;
   double giveBackAbove = 0.9;
-  /// Change of the share in one second. The platform allows a change of 15 % in 2 s; the rate
-  /// leaves half of that for VMs that decide at different moments.
+  /// Change of a region's share of the keys per second. The platform allows a change of 15 % in 2
+  /// s; this rate uses about half of that, because the VMs do not decide at the same moment.
   double ratePerSecond = 0.04;
-  /// Part of all slots that is taken to be needed before the first request, the same in each
-  /// region: cold objects take several times the slots of warm ones.
+  /// Fraction of all slots assumed to be in use before the first request. The demand is assumed to
+  /// be equal in all regions. Cold objects take several times the slots of warm ones.
   double expectedUse = 0.5;
+  /// Largest fraction of the keys that other regions serve together.
   double maxShare = 0.75;
 };
 
-/// Use of one service's slots in one region, summed over all VMs.
+/// Slots of one service in one region and how many are busy, summed over all VMs.
 struct RegionUse
 {
   RegionId region;
   double slots = 0;
-  double busy = 0; ///< Requests at the instances and, in the own region, waiting for them.
+  double busy = 0; ///< Requests at the instances; in the own region also queued requests.
 };
 
-/// Decides which part of the keys of one service is served in another region while the own region
-/// is short of slots. The part is chosen by key, so that an object stays at one place, and it
-/// changes slowly, so that a region's traffic never jumps. Not thread-safe.
+/// Decides which fraction of the keys of one service is served in other regions while the own
+/// region is short of slots. A hash of the key selects the keys, so that the requests for an object
+/// stay in one region. The fraction changes slowly, so that a region's traffic does not change
+/// abruptly. Not thread-safe.
 class SpillControl
 {
 public:
@@ -48,19 +51,20 @@
   {
   }
 
-  /// Chooses the shares with which the first requests are served, from the sizes of the regions
-  /// alone: running traffic must not move abruptly between regions later, and after a start every
-  /// object is cold. To be called instead of UpdateShares until there was a request.
+  /// Sets the shares for the first requests from the numbers of slots alone: running traffic must
+  /// not move abruptly between regions later, and after a start every object is cold. Call this
+  /// instead of UpdateShares until the first request has arrived.
   void SetInitialShares(const std::vector<RegionUse>& aUses);
 
-  /// Adapts the shares. To be called several times a second.
+  /// Adapts the shares to the current utilization of the regions. Call several times a second.
   void UpdateShares(TimePoint aNow, const std::vector<RegionUse>& aUses);
 
-  /// The other region that serves aKey, or empty when this VM's region does.
+  /// Returns the other region that serves aKey, or an empty value if the own region does.
   std::optional<RegionId> SpillRegionFor(uint64_t aKey) const;
 
-  /// Share of the keys that goes to other regions.
+  /// Fraction of the keys that all other regions serve together.
   double TotalShare() const;
+  /// Fraction of the keys that aRegion, a region other than the own one, serves.
   double ShareOf(const RegionId& aRegion) const;
 
 private:
--- a/include/dragonflymoor/Steering/SplitChooser.h
+++ b/include/dragonflymoor/Steering/SplitChooser.h
@@ -6,19 +6,20 @@
 
 namespace dfm {
 
-/// Divides the requests of each route between its parts by weight, by smooth weighted round robin:
-/// after n requests no part is more than one request off its share. Not thread-safe.
+/// Distributes the requests of each route over its parts according to their weights by smooth
+/// weighted round robin: at any time no part deviates from its share by more than one request. Not
+/// thread-safe.
 class SplitChooser
 {
 public:
-  /// The service for the next request of aRoute. Precondition: aRoute has parts.
+  /// Returns the service for the next request of aRoute. Precondition: aRoute has parts.
   const ServiceId& Choose(const Route& aRoute);
 
 private:
   struct Credits
   {
-    std::vector<SplitPart> parts; ///< Start anew when these change.
-    std::vector<double> credit;
+    std::vector<SplitPart> parts;     ///< The credits are reset when the parts change.
+    std::vector<double> creditByPart; ///< In the order of parts.
   };
   std::unordered_map<std::string, Credits> creditsByRoute_;
 };
--- a/lib/Steering/Manifest.cpp
+++ b/lib/Steering/Manifest.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+/// Removes the port and converts to lower case.
 std::string
 NormalizeHost(std::string_view aHost)
 {
@@ -34,8 +35,8 @@
 const std::vector<const Route*>*
 RouteIndex::FindHostRoutes(std::string_view aHost) const
 {
-  const auto found = routesByHost_.find(NormalizeHost(aHost));
-  return found == routesByHost_.end() ? nullptr : &found->second;
+  const auto hostRoutes = routesByHost_.find(NormalizeHost(aHost));
+  return hostRoutes == routesByHost_.end() ? nullptr : &hostRoutes->second;
 }
 
 const Route*
--- a/lib/Steering/ObjectCounter.cpp
+++ b/lib/Steering/ObjectCounter.cpp
@@ -7,18 +7,21 @@
 
 namespace {
 
-/// Requests before there is an estimate, and between two estimates. With so few, a tenth of some
-/// hundred objects comes again.
+/// Number of requests before the first estimate and between two estimates. Among this many requests
+/// for a few hundred objects, about a tenth repeat an earlier key.
 constexpr size_t kEstimatePeriod = 40;
 
-/// After so many requests the sample starts anew, so that it follows the load and stays small.
+/// After this many requests a new sample begins, so that the estimate follows the load and the
+/// sample stays small.
 constexpr size_t kMaxSampleSize = 4000;
 
-/// Steps of the bisection; the factor between its bounds shrinks to a thousandth.
+/// Steps of the bisection, which runs on a logarithmic scale; afterwards the bounds differ by less
+/// than a thousandth.
 constexpr int kBisectionSteps = 40;
 
-/// Number of objects that explains a sample: of n equally likely objects, r requests meet n(1 -
-/// e^(-r/n)).
+/// Estimates the number of objects from a sample of aRequests requests with aDistinct distinct
+/// keys. With n equally likely objects, r requests are expected to refer to n(1 - e^(-r/n)) of
+/// them.
 double
 EstimateObjectCount(double aRequests, double aDistinct)
 {
@@ -39,14 +42,14 @@
 void
 ObjectCounter::OnRequest(uint64_t aKey)
 {
-  keys_.insert(aKey);
-  if (++requests_ % kEstimatePeriod == 0)
-    estimate_ =
-      EstimateObjectCount(static_cast<double>(requests_), static_cast<double>(keys_.size()));
-  if (requests_ < kMaxSampleSize)
+  sampledKeys_.insert(aKey);
+  if (++sampledRequests_ % kEstimatePeriod == 0)
+    estimate_ = EstimateObjectCount(static_cast<double>(sampledRequests_),
+                                    static_cast<double>(sampledKeys_.size()));
+  if (sampledRequests_ < kMaxSampleSize)
     return;
-  keys_.clear();
-  requests_ = 0;
+  sampledKeys_.clear();
+  sampledRequests_ = 0;
 }
 
 } // namespace dfm
--- a/lib/Steering/PeerMessages.cpp
+++ b/lib/Steering/PeerMessages.cpp
@@ -12,10 +12,11 @@
 using flatbuffers::FlatBufferBuilder;
 using flatbuffers::Offset;
 
-/// Largest values that a load report can hold.
+/// Largest values that fit into the fields of an encoded load report.
 constexpr uint16_t kMaxInFlight = std::numeric_limits<uint8_t>::max();
 constexpr int64_t kMaxLifeMs = std::numeric_limits<uint16_t>::max();
 
+/// Type and offset of an encoded message body.
 struct Body
 {
   wire::SteeringBody type = wire::SteeringBody::NONE;
@@ -86,7 +87,8 @@
   if (instances == nullptr || inFlight == nullptr)
     return load;
   if (instances->size() != inFlight->size())
-    return tl::unexpected(CodecError{ "load report: the lists differ in length" });
+    return tl::unexpected(
+      CodecError{ "load report: lists of instances and in-flight counts differ in length" });
   for (flatbuffers::uoffset_t i = 0; i < instances->size(); ++i)
     load.loads.push_back({ .instance = instances->Get(i), .inFlight = inFlight->Get(i) });
   return load;
@@ -113,7 +115,7 @@
   for (const wire::StateSet* set : *aReply.sets()) {
     if (set->kind() >= kObjectKindCount)
       return tl::unexpected(
-        CodecError{ fmt::format("state reply: kind {} does not exist", set->kind()) });
+        CodecError{ fmt::format("state reply: unknown object kind {}", set->kind()) });
     StateReply::Kind kind{ .kind = static_cast<ObjectKind>(set->kind()), .complete = set->whole() };
     kind.set.revision = set->revision();
     if (set->objects() != nullptr) {
@@ -143,7 +145,7 @@
     case wire::SteeringBody::StateReply:
       return Decode(*aMessage.body_as_StateReply());
     default:
-      return tl::unexpected(CodecError{ "message: unknown type" });
+      return tl::unexpected(CodecError{ "peer message: unknown body type" });
   }
 }
 
@@ -166,7 +168,7 @@
   const auto* bytes = reinterpret_cast<const uint8_t*>(aBytes.data());
   flatbuffers::Verifier verifier(bytes, aBytes.size());
   if (!wire::VerifySteeringMessageBuffer(verifier))
-    return tl::unexpected(CodecError{ "message: malformed" });
+    return tl::unexpected(CodecError{ "peer message: malformed" });
   const wire::SteeringMessage* message = wire::GetSteeringMessage(bytes);
   auto body = DecodeBody(*message);
   if (!body)
--- a/lib/Steering/RegionBalance.cpp
+++ b/lib/Steering/RegionBalance.cpp
@@ -6,20 +6,23 @@
 
 namespace {
 
-/// Interval at which the use of the regions is evaluated.
+/// Interval at which the utilization of the regions is evaluated.
 constexpr Duration kBalancePeriod = 100ms;
 
-/// kAmpleSlots is the part of a region's slots in use below which it is not short of slots.
-/// kUseWeight is the weight of the latest use in the moving mean, which thus covers about a second.
-constexpr double kAmpleSlots = 0.6;
+/// Fraction of a region's slots in use below which the region has slots to spare.
+constexpr double kAmpleUtilization = 0.6;
+
+/// Weight of the latest utilization in its moving mean, which thus covers about a second.
 constexpr double kUseWeight = 0.1;
 
-/// Objects for each instance from which on hashing loads the instances evenly, so that a region
-/// that is short of slots can keep each object at one of them. With fewer it needs several homes.
-constexpr double kObjectsPerInstance = 6;
+/// Number of objects per instance at or above which hashing loads the instances evenly, so that a
+/// region that is short of slots can keep each object at one instance. With fewer objects per
+/// instance, an object needs several homes (instances that serve it).
+constexpr double kMinObjectsPerInstance = 6;
 
-/// Part of the objects that get, or lose, a home in each failure domain in one second. Each new
-/// home serves its first request cold, which takes several times the slots.
+/// Fraction of the objects that gain, or lose, a home in each failure domain per second. The rates
+/// are limited because each new home serves its first request cold, which takes several times the
+/// slots.
 constexpr double kHomeGainRate = 0.1;
 constexpr double kHomeLossRate = 0.1;
 
@@ -28,20 +31,20 @@
 void
 Dispatcher::UpdateSpreads(ServiceState& aState, const std::vector<RegionUse>& aUses)
 {
-  const double step = ToSeconds(kBalancePeriod);
+  const double elapsedSeconds = ToSeconds(kBalancePeriod);
   for (const RegionUse& use : aUses) {
     const auto region = aState.regions.find(use.region);
     if (region == aState.regions.end() || !aState.hadRequests)
       continue;
     RegionSpread& spread = aState.spreads[use.region];
-    const double now = use.slots > 0 ? use.busy / use.slots : 1;
-    spread.use += kUseWeight * (now - spread.use);
+    const double utilization = use.slots > 0 ? use.busy / use.slots : 1;
+    spread.use += kUseWeight * (utilization - spread.use);
     const auto instances = static_cast<double>(region->second.list.size());
-    const bool evenlyLoaded = aState.objects.EstimatedCount() >= kObjectsPerInstance * instances;
+    const bool evenlyLoaded = aState.objects.EstimatedCount() >= kMinObjectsPerInstance * instances;
     if (spread.use > RegionSpread::kShortOfSlots && evenlyLoaded)
-      spread.share = std::max(0.0, spread.share - kHomeLossRate * step);
-    else if (spread.use > RegionSpread::kShortOfSlots || spread.use < kAmpleSlots)
-      spread.share = std::min(1.0, spread.share + kHomeGainRate * step);
+      spread.share = std::max(0.0, spread.share - kHomeLossRate * elapsedSeconds);
+    else if (spread.use > RegionSpread::kShortOfSlots || spread.use < kAmpleUtilization)
+      spread.share = std::min(1.0, spread.share + kHomeGainRate * elapsedSeconds);
   }
 }
 
@@ -51,13 +54,13 @@
   if (aNow < nextBalance_)
     return;
   nextBalance_ = aNow + kBalancePeriod;
-  double ownVms = 0;
+  double vmsInOwnRegion = 0;
   for (const Vm& vm : view_->usableVms)
-    ownVms += vm.region == options_.region ? 1 : 0;
+    vmsInOwnRegion += vm.region == options_.region ? 1 : 0;
   for (auto& [service, state] : services_) {
-    std::map<RegionId, RegionUse> uses;
+    std::map<RegionId, RegionUse> usesByRegion;
     for (const auto& [region, candidates] : state.regions) {
-      RegionUse& use = uses[region];
+      RegionUse& use = usesByRegion[region];
       use.region = region;
       for (const Candidate& candidate : candidates.list) {
         if (candidate.tracker->UnusableReasonAt(aNow) != Unusable::None)
@@ -66,18 +69,19 @@
         use.busy += candidate.tracker->KnownInFlight();
       }
     }
-    // The waiting requests of other VMs are unknown; they are estimated from this VM's queue.
-    uses[options_.region].region = options_.region;
-    uses[options_.region].busy += static_cast<double>(state.queue.size()) * std::max(ownVms, 1.0);
-    std::vector<RegionUse> list;
-    list.reserve(uses.size());
-    for (const auto& [region, use] : uses)
-      list.push_back(use);
+    // The lengths of the other VMs' queues are unknown; each is assumed to equal that of this VM.
+    usesByRegion[options_.region].region = options_.region;
+    usesByRegion[options_.region].busy +=
+      static_cast<double>(state.queue.size()) * std::max(vmsInOwnRegion, 1.0);
+    std::vector<RegionUse> uses;
+    uses.reserve(usesByRegion.size());
+    for (const auto& [region, use] : usesByRegion)
+      uses.push_back(use);
     if (state.hadRequests)
-      state.spill.UpdateShares(aNow, list);
+      state.spill.UpdateShares(aNow, uses);
     else
-      state.spill.SetInitialShares(list);
-    UpdateSpreads(state, list);
+      state.spill.SetInitialShares(uses);
+    UpdateSpreads(state, uses);
   }
 }
 
--- a/lib/Steering/Scale.h
+++ b/lib/Steering/Scale.h
@@ -5,7 +5,7 @@
 
 namespace dfm {
 
-/// aFactor times aDuration, rounded towards zero.
+/// Returns aDuration multiplied by aFactor, rounded towards zero.
 inline Duration
 Scale(Duration aDuration, double aFactor)
 {
--- a/lib/Steering/ShiftLimit.cpp
+++ b/lib/Steering/ShiftLimit.cpp
@@ -9,21 +9,22 @@
 /// Length of the consecutive windows that the platform compares.
 constexpr Duration kWindow = 2s;
 
-/// Starts are counted in slices of this length: short enough against the window that the error at
-/// its ends stays below the margin of the limit.
+/// Started requests are counted in slices of this length. Slices are short enough, compared with
+/// the window, that the rounding error at the ends of a window stays below the margin of the limit.
 constexpr Duration kSlice = 200ms;
 
-/// A steady growth of the share is a quarter larger in the latter half of a window.
+/// While the share grows steadily, its growth in the latter half of a window is a quarter larger
+/// than in the whole window.
 constexpr double kBurstFactor = 1.25;
 
 } // namespace
 
 ShiftLimit::Window
-ShiftLimit::SumSlices(TimePoint aFrom, TimePoint aUntil, const RegionId& aRegion) const
+ShiftLimit::SumSlices(TimePoint aBegin, TimePoint aEnd, const RegionId& aRegion) const
 {
   Window window;
   for (const Slice& slice : slices_) {
-    if (slice.start < aFrom || slice.start >= aUntil)
+    if (slice.start < aBegin || slice.start >= aEnd)
       continue;
     window.total += slice.total;
     const auto inRegion = slice.startsByRegion.find(aRegion);
@@ -36,13 +37,13 @@
 ShiftLimit::MayStart(TimePoint aNow, const RegionId& aRegion, double aInitialShare) const
 {
   const Window previous = SumSlices(aNow - 2 * kWindow, aNow - kWindow, aRegion);
-  // Without a previous window the initial share applies; later windows are compared with the
-  // result.
+  // Without requests in the previous window the initial share applies. Later windows are compared
+  // with the share that results from it.
   const double maxShare = previous.total == 0
                             ? std::max(aInitialShare, maxChange_)
                             : static_cast<double>(previous.inRegion) / previous.total + maxChange_;
-  // Checks the latter half of the window as well: a burst there would be a larger share of a later
-  // window.
+  // Check the latter half of the window as well: a burst there would make up a larger share of a
+  // later window.
   for (const Duration length : { kWindow, kWindow / 2 }) {
     const Window current = SumSlices(aNow - length, aNow + kSlice, aRegion);
     const double burstAllowance =
--- a/lib/Steering/SpillControl.cpp
+++ b/lib/Steering/SpillControl.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// After a longer gap between two updates the shares change as if this much time had passed.
+/// Upper bound for the time between two updates that counts towards the change of the shares.
 constexpr double kMaxStepSeconds = 0.5;
 
 double
@@ -17,7 +17,8 @@
   return aUse.slots > 0 ? aUse.busy / aUse.slots : std::numeric_limits<double>::infinity();
 }
 
-/// Maps a key to [0, 1) for one region; independent between regions.
+/// Maps a key to a position in [0, 1). The positions of a key in different regions are
+/// independent.
 double
 KeyPosition(uint64_t aKey, const RegionId& aRegion)
 {
@@ -31,27 +32,28 @@
 SpillControl::SetInitialShares(const std::vector<RegionUse>& aUses)
 {
   shares_.clear();
-  double slots = 0;
+  double totalSlots = 0;
   double ownSlots = 0;
-  double regions = 0;
+  double regionsWithSlots = 0;
   for (const RegionUse& use : aUses) {
-    slots += use.slots;
+    totalSlots += use.slots;
     ownSlots += use.region == self_ ? use.slots : 0;
-    regions += use.slots > 0 ? 1 : 0;
+    regionsWithSlots += use.slots > 0 ? 1 : 0;
   }
   if (ownSlots == 0)
     return;
-  const double demand = options_.expectedUse * slots / regions;
+  const double demandPerRegion = options_.expectedUse * totalSlots / regionsWithSlots;
   const auto spareSlotsOf = [&](const RegionUse& aUse) {
-    return aUse.region == self_ ? 0 : std::max(0.0, options_.takeBelow * aUse.slots - demand);
+    return aUse.region == self_ ? 0
+                                : std::max(0.0, options_.takeBelow * aUse.slots - demandPerRegion);
   };
   double spareSlots = 0;
   for (const RegionUse& use : aUses)
     spareSlots += spareSlotsOf(use);
-  const double excess = std::min(demand - options_.moveAbove * ownSlots, spareSlots);
-  if (excess <= 0)
+  const double excessSlots = std::min(demandPerRegion - options_.moveAbove * ownSlots, spareSlots);
+  if (excessSlots <= 0)
     return;
-  const double share = std::min(excess / demand, options_.maxShare);
+  const double share = std::min(excessSlots / demandPerRegion, options_.maxShare);
   for (const RegionUse& use : aUses) {
     if (spareSlotsOf(use) > 0)
       shares_[use.region] = share * spareSlotsOf(use) / spareSlots;
@@ -61,37 +63,38 @@
 void
 SpillControl::UpdateShares(TimePoint aNow, const std::vector<RegionUse>& aUses)
 {
-  const double step =
+  const double elapsedSeconds =
     lastUpdate_ ? std::clamp(ToSeconds(aNow - *lastUpdate_), 0.0, kMaxStepSeconds) : 0;
   lastUpdate_ = aNow;
-  const double change = options_.ratePerSecond * step;
+  const double shareChange = options_.ratePerSecond * elapsedSeconds;
 
-  double ownUse = std::numeric_limits<double>::infinity();
-  const RegionUse* leastUsed = nullptr;
-  RegionId mostUsed;
-  double mostUsedUse = -1;
+  double ownUtilization = std::numeric_limits<double>::infinity();
+  const RegionUse* leastUtilized = nullptr;
+  RegionId mostUtilizedSpillRegion;
+  double maxSpillUtilization = -1;
   for (const RegionUse& use : aUses) {
     if (use.region == self_) {
-      ownUse = Utilization(use);
+      ownUtilization = Utilization(use);
       continue;
     }
-    if (leastUsed == nullptr || Utilization(use) < Utilization(*leastUsed))
-      leastUsed = &use;
+    if (leastUtilized == nullptr || Utilization(use) < Utilization(*leastUtilized))
+      leastUtilized = &use;
     const auto share = shares_.find(use.region);
-    if (share != shares_.end() && share->second > 0 && Utilization(use) > mostUsedUse) {
-      mostUsed = use.region;
-      mostUsedUse = Utilization(use);
+    if (share != shares_.end() && share->second > 0 && Utilization(use) > maxSpillUtilization) {
+      mostUtilizedSpillRegion = use.region;
+      maxSpillUtilization = Utilization(use);
     }
   }
 
-  if (mostUsedUse > options_.giveBackAbove || (mostUsedUse >= 0 && ownUse < options_.returnBelow)) {
-    double& share = shares_[mostUsed];
-    share = std::max(0.0, share - change);
+  if (maxSpillUtilization > options_.giveBackAbove ||
+      (maxSpillUtilization >= 0 && ownUtilization < options_.returnBelow)) {
+    double& share = shares_[mostUtilizedSpillRegion];
+    share = std::max(0.0, share - shareChange);
     return;
   }
-  if (ownUse > options_.moveAbove && leastUsed != nullptr &&
-      Utilization(*leastUsed) < options_.takeBelow && TotalShare() < options_.maxShare)
-    shares_[leastUsed->region] += change;
+  if (ownUtilization > options_.moveAbove && leastUtilized != nullptr &&
+      Utilization(*leastUtilized) < options_.takeBelow && TotalShare() < options_.maxShare)
+    shares_[leastUtilized->region] += shareChange;
 }
 
 std::optional<RegionId>
--- a/lib/Steering/SplitChooser.cpp
+++ b/lib/Steering/SplitChooser.cpp
@@ -14,16 +14,18 @@
 
   Credits& credits = creditsByRoute_[aRoute.name];
   if (credits.parts != aRoute.parts)
-    credits = { .parts = aRoute.parts, .credit = std::vector<double>(aRoute.parts.size(), 0) };
+    credits = { .parts = aRoute.parts,
+                .creditByPart = std::vector<double>(aRoute.parts.size(), 0) };
 
-  double total = 0;
+  double totalWeight = 0;
   for (size_t i = 0; i < aRoute.parts.size(); ++i) {
-    credits.credit[i] += aRoute.parts[i].weight;
-    total += aRoute.parts[i].weight;
+    credits.creditByPart[i] += aRoute.parts[i].weight;
+    totalWeight += aRoute.parts[i].weight;
   }
-  const auto best = std::max_element(credits.credit.begin(), credits.credit.end());
-  *best -= total;
-  return aRoute.parts[static_cast<size_t>(best - credits.credit.begin())].service;
+  const auto highestCredit =
+    std::max_element(credits.creditByPart.begin(), credits.creditByPart.end());
+  *highestCredit -= totalWeight;
+  return aRoute.parts[static_cast<size_t>(highestCredit - credits.creditByPart.begin())].service;
 }
 
 } // namespace dfm
